--- a/libraries/request_path/decision_log.cc
+++ b/libraries/request_path/decision_log.cc
@@ -2,9 +2,9 @@
 
 namespace borageloft::request_path {
 
-void DecisionLog::Write(LogShare share, std::string_view event,
+void DecisionLog::Write(LogSampling sampling, std::string_view event,
                         std::initializer_list<base::LogField> fields) {
-  if (share == LogShare::kSampled && samples_++ % kSampleInterval != 0) {
+  if (sampling == LogSampling::kSampled && samples_++ % kSampleInterval != 0) {
     return;
   }
   const base::TimePoint now = clock_();
--- a/libraries/request_path/decision_log.h
+++ b/libraries/request_path/decision_log.h
@@ -9,28 +9,33 @@
 
 namespace borageloft::request_path {
 
-/** How often a decision is logged. */
-enum class LogShare {
-  kAlways,   // Within the bound: refusals, failures, repeated sends.
-  kSampled,  // One of many: answers passed on.
+/** Which of the decisions of one kind are logged. */
+enum class LogSampling {
+  kAlways,   // Each, up to the limit per second: refusals, failures, retries.
+  kSampled,  // One in kSampleInterval: forwarded answers, abandoned requests.
 };
 
 /**
- * Log lines of decisions about single requests, bounded per second so that a burst of refusals
- * neither blocks requests nor uses up the processor. Lines beyond the bound are counted, and the
- * count is logged. Not thread-safe.
+ * Rate-limited log of decisions about single requests. The limit per second keeps a burst of
+ * refusals from blocking requests or using up the processor. Lines above the limit are dropped and
+ * counted; the count is logged with the first line of a later second. Not thread-safe.
  */
 class DecisionLog {
  public:
   explicit DecisionLog(base::Clock clock) : clock_(std::move(clock)) {}
 
-  void Write(LogShare share, std::string_view event, std::initializer_list<base::LogField> fields);
+  /**
+   * Writes a line unless the sampling or the limit per second drops it.
+   * @param event Stable event name.
+   */
+  void Write(LogSampling sampling, std::string_view event,
+             std::initializer_list<base::LogField> fields);
 
-  /** @return Lines dropped since the start. */
+  /** @return Lines dropped by the limit since construction. */
   std::uint64_t dropped() const { return dropped_; }
 
  private:
-  // About 0.3% of a small node's processor time at 20 us a line.
+  // A line takes 20 us, so the log uses about 0.3% of the processor time of a small node.
   static constexpr std::uint64_t kLinesPerSecond = 60;
   static constexpr std::uint64_t kSampleInterval = 100;
 
--- a/libraries/request_path/entry.cc
+++ b/libraries/request_path/entry.cc
@@ -16,24 +16,26 @@
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kServiceUnavailable = 503;
 
-// Wait after which a caller finds a node that has just started with its declaration.
-constexpr const char* kRetryAfterStart = "0.5";
-// A reported admission level counts in full for this time, and opens again within the next.
+// Retry-After of refusals before routing: by then a node that has just started has a declaration.
+constexpr const char* kRetryAfterSeconds = "0.5";
+// A reported admission level applies in full for the hold time, then opens linearly over the decay
+// time.
 constexpr std::chrono::milliseconds kLevelHold{1000};
 constexpr std::chrono::milliseconds kLevelDecay{1500};
-// Runs after which the mean number of calls of one is known well enough.
-constexpr std::uint64_t kRunsToCountCalls = 20;
-// Upstreams derive the ids of their calls from the id of the request that they work on.
+// Runs required for a mean number of calls per run.
+constexpr std::uint64_t kMinRunsForMean = 20;
+// An upstream names its calls after the request that it runs: the id of a call is the request's id,
+// this separator and a suffix.
 constexpr char kIdSeparator = '.';
 
 std::optional<std::chrono::milliseconds> ParseMilliseconds(const std::string& text) {
   std::int64_t value = 0;
   const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
-  constexpr std::int64_t kLongest = 24LL * 3600 * 1000;
+  constexpr std::int64_t kMaxMilliseconds = 24LL * 3600 * 1000;
   if (parsed.ec != std::errc() || parsed.ptr != text.data() + text.size() || value < 0) {
     return std::nullopt;
   }
-  return std::chrono::milliseconds(std::min(value, kLongest));
+  return std::chrono::milliseconds(std::min(value, kMaxMilliseconds));
 }
 
 unsigned StatusOf(Refusal refusal) {
@@ -120,10 +122,10 @@
     plan.origin = wire::RequestOrigin::kUpstream;
     plan.priority = parent->priority;
     plan.shed_key = parent->shed_key;
-    plan.is_below_repeat = parent->attempt > 1;
+    plan.is_below_retry = parent->attempt > 1;
     RecordCall(plan.service, *parent);
   }
-  if (!plan.is_below_repeat) {
+  if (!plan.is_below_retry) {
     budget_.RecordRequest(plan.service, received);
   }
   http_stream::RemoveConnectionFields(message.fields);
@@ -148,7 +150,7 @@
   return end == std::string::npos ? nullptr : hooks_.find_running(request_id.substr(0, end));
 }
 
-void Entry::NoteFailedCall(const std::string& request_id) const {
+void Entry::ReportFailedCall(const std::string& request_id) const {
   const std::size_t end = request_id.rfind(kIdSeparator);
   if (end != std::string::npos && hooks_.on_call_failed) {
     hooks_.on_call_failed(request_id.substr(0, end));
@@ -167,7 +169,7 @@
 }
 
 std::uint32_t Entry::RemoteCalls(std::uint64_t runs) const {
-  if (runs < kRunsToCountCalls) {
+  if (runs < kMinRunsForMean) {
     return 0;
   }
   double remote = 0;
@@ -196,7 +198,7 @@
   ++counters_.refused[reason];
   const std::string* id = http_stream::FindField(message.fields, options_.names.request_id);
   const std::string* host = http_stream::FindField(message.fields, "host");
-  log_.Write(LogShare::kAlways, "request_refused",
+  log_.Write(LogSampling::kAlways, "request_refused",
              {{"request", id == nullptr ? "" : *id},
               {"host", host == nullptr ? "" : *host},
               {"target", message.target},
@@ -209,7 +211,7 @@
     response.fields.push_back({options_.names.request_id, *id});
   }
   if (response.status == kServiceUnavailable) {
-    response.fields.push_back({"Retry-After", kRetryAfterStart});
+    response.fields.push_back({"Retry-After", kRetryAfterSeconds});
   }
   response.body = reason;
   answer(std::move(response));
--- a/libraries/request_path/entry.h
+++ b/libraries/request_path/entry.h
@@ -20,41 +20,44 @@
 
 namespace borageloft::request_path {
 
-/** Delivers the answer to a caller. */
+/** Delivers the answer to the sender of a request. */
 using AnswerHook = std::function<void(http_stream::ResponseMessage response)>;
 
 /** Settings of an entry. */
 struct EntryOptions {
-  /** Service on this host, which upstreams are told as the origin of a request. */
+  /** Service on this host, sent to upstreams as the calling service. */
   std::string service;
   HeaderNames names;
   RetryBudgetOptions budget;
-  /** Deadline of a request that states none and whose route states no timeout. */
+  /** Time limit of a request where the caller states no timeout or the route has none. */
   base::Duration default_deadline = std::chrono::seconds(10);
-  /** Bytes of request bodies held at once; more is refused. */
+  /** Maximum bytes of request bodies in memory; a request beyond that is refused. */
   std::size_t held_bytes = std::size_t{48} << 20U;
 };
 
-/** Everything of an entry that varies between production and tests. */
+/** Dependencies of an entry, replaced in tests. */
 struct EntryHooks {
   base::Clock clock;
   base::Random random;
-  /** Sends a request to the gate of an instance. */
+  /**
+   * Sends a request to the gate of an instance. The returned hook cancels it; the handler then
+   * still receives a response, which tells whether the request may have run.
+   */
   std::function<CancelHook(const directory::InstanceRecord& instance, wire::Request request,
                            ResponseHandler handler)>
       send;
-  /** Finds the request that runs at the local upstream under this id; null if none does. */
+  /** Finds the request with this id that runs at the local upstream; null if there is none. */
   std::function<const wire::Placement*(const std::string& request_id)> find_running;
-  /** Told that a call made by the request that runs under this id failed. May be empty. */
+  /** Called when a call made by the running request with this id failed. May be empty. */
   std::function<void(const std::string& request_id)> on_call_failed = {};
 };
 
 /** Counters of an entry, for metrics. */
 struct EntryCounters {
   std::uint64_t requests = 0;
-  std::uint64_t answered = 0;
-  std::uint64_t abandoned = 0;
-  std::uint64_t repeats = 0;
+  std::uint64_t answered = 0;   // With an answer of an upstream.
+  std::uint64_t abandoned = 0;  // The caller disconnected first.
+  std::uint64_t repeats = 0;    // Retries sent, with those that no upstream had seen before.
   std::map<std::string, std::uint64_t> refused;  // By reason.
   std::map<std::string, std::uint64_t> failed;   // By reason.
 };
@@ -62,10 +65,10 @@
 class RequestRun;
 
 /**
- * Takes the requests of the callers and of the upstream on this host, and sends each to one
- * instance after the other until it is answered, refused or given up. The entry owns a caller's
- * attempt: an at-most-once request is sent again only after word that it has not run. Driven by one
- * thread; not thread-safe.
+ * Accepts requests from callers and from the upstream on this host and routes them. A request is
+ * sent to one instance at a time until it is answered, refused or cancelled. The entry alone owns
+ * the attempts of a request; an at-most-once request is retried only if it is known not to have
+ * run. Runs on one thread; not thread-safe.
  */
 class Entry {
  public:
@@ -77,37 +80,43 @@
   Entry(const Entry&) = delete;
   Entry& operator=(const Entry&) = delete;
 
-  /** Puts a declaration in force for the requests from now on. */
+  /**
+   * Applies a declaration to all further requests.
+   * @param declaration Its version is higher than the one in force.
+   */
   void SetDeclaration(const declaration::Declaration& declaration);
 
-  /** Refuses every further request; those in progress go on. */
+  /** Refuses all further requests; those in progress continue. */
   void StopTaking() { is_taking_ = false; }
 
   /**
-   * Takes a request.
+   * Handles a request.
    * @param received When its last byte arrived.
-   * @param answer Called exactly once, unless the request is abandoned.
-   * @return Abandons the request, because the caller has left.
+   * @param answer Called exactly once, possibly before this returns, unless the request is
+   *     abandoned.
+   * @return Hook that abandons the request without an answer because the caller has disconnected.
+   *     Empty if the request was refused before it was routed.
    */
   CancelHook Handle(http_stream::RequestMessage message, base::TimePoint received,
                     AnswerHook answer);
 
   /**
-   * @param runs Calls of other upstreams that the local one has run.
-   * @return Calls that one of them makes to services without an instance in this zone, rounded.
+   * @param runs Calls of other upstreams that the local upstream has run.
+   * @return Mean number of calls, rounded, that one such run makes to services without an instance
+   *     in this zone. 0 while there are too few runs for a mean.
    */
   std::uint32_t RemoteCalls(std::uint64_t runs) const;
 
   /** @return Whether the local upstream has made a call. */
   bool has_seen_calls() const { return !called_services_.empty(); }
 
-  /** @return Worst admission level of the services that the local upstream calls. */
+  /** @return Most restrictive admission level of the services that the local upstream calls. */
   admission::AdmissionLevel DownstreamLevel() const;
 
   InstanceChooser& chooser() { return chooser_; }
   RetryBudget& budget() { return budget_; }
   const EntryCounters& counters() const { return counters_; }
-  /** @return Version in force, 0 before the first one. */
+  /** @return Declaration version in force; 0 before the first declaration. */
   declaration::Version version() const { return version_; }
   std::size_t runs_in_progress() const { return runs_.size(); }
 
@@ -115,7 +124,7 @@
   friend class RequestRun;
 
   void RecordCall(const std::string& service, const wire::Placement& parent);
-  void NoteFailedCall(const std::string& request_id) const;
+  void ReportFailedCall(const std::string& request_id) const;
   const wire::Placement* FindParent(const std::string& request_id) const;
   void Refuse(const http_stream::RequestMessage& message, Refusal refusal,
               const AnswerHook& answer);
@@ -128,8 +137,9 @@
   InstanceChooser chooser_;
   RetryBudget budget_;
   admission::LoadLevelMap levels_;
-  std::vector<std::string> called_services_;      // By the local upstream.
-  std::vector<std::uint64_t> calls_below_calls_;  // Made to each of those while running a call.
+  std::vector<std::string> called_services_;  // By the local upstream.
+  // Calls to each of `called_services_` that were made while the local upstream ran a call itself.
+  std::vector<std::uint64_t> calls_below_calls_;
   std::unique_ptr<declaration::RouteTable> routes_;
   declaration::Version version_ = 0;
   bool is_taking_ = true;
--- a/libraries/request_path/header_names.h
+++ b/libraries/request_path/header_names.h
@@ -5,25 +5,25 @@
 
 namespace borageloft::request_path {
 
-/** Header names that callers and upstreams of a deployment use. */
+/** HTTP header names that the callers and upstreams of a deployment use. */
 struct HeaderNames {
-  /** Id of one attempt of a caller; echoed by the upstream. */
+  /** Id of one attempt of a caller; the upstream returns it with the answer. */
   std::string request_id = "Borageloft-Request-Id";
-  /** Milliseconds that the sender still waits. */
+  /** Milliseconds until the sender stops waiting. */
   std::string timeout_ms = "Borageloft-Timeout-Ms";
-  /** Instance that alone may run the request. */
+  /** The only instance that may run the request. */
   std::string expected_instance = "Borageloft-Expected-Instance";
   /** Set by an upstream on an answer to a request that it did not run. */
   std::string not_run = "Borageloft-Not-Run";
-  /** Set by an upstream on every answer that it made; an answer without it is not the upstream's.
-   * Empty if the upstreams set none. */
+  /** Set by an upstream on every answer that it produces itself; a success without it comes from
+   * something else. Empty if the upstreams set no such header. */
   std::string seal = "";
-  /** Service on the host where the request began. */
+  /** Service on the host that sent the request. */
   std::string caller_service = "Borageloft-Caller-Service";
-  /** Requests running, requests waiting and slots of the upstream. */
+  /** Running requests, waiting requests and slots of the upstream. */
   std::string upstream_load = "Borageloft-Upstream-Load";
-  /** Set by an upstream on its health answers: the instance that answers. Empty if the upstreams
-   * set none. */
+  /** Set by an upstream on its health answers: the id of its instance. Empty if the upstreams set
+   * no such header. */
   std::string instance = "";
 };
 
--- a/libraries/request_path/instance_chooser.cc
+++ b/libraries/request_path/instance_chooser.cc
@@ -8,30 +8,31 @@
 
 namespace {
 
-// Weight of a new observation in the moving values: about ten requests decide.
+// Weights of a new observation in the moving averages: about ten requests determine the value.
 constexpr double kLatencyWeight = 0.1;
 constexpr double kFailureWeight = 0.1;
-// Old reports and latencies lose half of their say in this time, so that an instance that was slow
-// or full is tried again.
+// Half-lives of old observations. Their weight decays so that an instance that was slow, full or
+// failing is tried again.
 constexpr double kReportHalfLifeSeconds = 0.5;
 constexpr double kLatencyHalfLifeSeconds = 2;
 constexpr double kFailureHalfLifeSeconds = 3;
-// An instance of the own zone above this share of its slots is no longer preferred to other zones.
-constexpr double kFullShare = 0.93;
-// An instance that fails more often than this is no longer preferred to other zones.
-constexpr double kFailingShare = 0.4;
-// An instance that is slower than usual by this many powers of two is not preferred either.
+// An instance with more than this share of its slots in use is no longer preferred for its zone.
+constexpr double kFullUtilization = 0.93;
+// Nor is an instance that fails a larger share of its attempts than this.
+constexpr double kFailingRate = 0.4;
+// Nor is an instance that is slower than usual by this many powers of two.
 constexpr std::uint32_t kSlowSteps = 2;
-// Calls across zones of one request that are told apart.
-constexpr std::uint32_t kMostRemoteCalls = 16;
-// Ranks behind all numbers of crossings.
+// Larger numbers of calls across zones count as this one.
+constexpr std::uint32_t kMaxRemoteCalls = 16;
+// Ranks above every number of zone crossings.
 constexpr std::uint32_t kFullRank = 100;
-constexpr std::uint32_t kLeavingRank = 101;
-// Latency assumed for a service without any observation.
-constexpr double kFirstLatencyMs = 50;
-// Pause after an instance was found gone; its record disappears within this time if it really is.
+constexpr std::uint32_t kUnavailableRank = 101;
+// Latency assumed for a service without observations.
+constexpr double kDefaultLatencyMs = 50;
+// Time for which an instance that was found unavailable is avoided. If it is gone, its record is
+// removed within this time.
 constexpr std::chrono::milliseconds kAvoidTime{1000};
-// Random spread of the scores, so that nodes with equal knowledge do not all choose alike.
+// Random spread of the scores, so that nodes with the same information choose different instances.
 constexpr double kScoreSpread = 0.2;
 
 double Seconds(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
@@ -70,72 +71,76 @@
 
 double InstanceChooser::UtilizationOf(const Member& member, base::TimePoint now) const {
   const double slots = std::max<std::uint32_t>(1, member.record.slots);
-  const double reported = member.reported * Decay(now - member.reported_at, kReportHalfLifeSeconds);
-  return std::max(member.in_flight / slots, reported);
+  const double reported_utilization =
+      member.reported_utilization * Decay(now - member.reported_at, kReportHalfLifeSeconds);
+  return std::max(member.in_flight / slots, reported_utilization);
 }
 
-double InstanceChooser::FailuresOf(const Member& member, base::TimePoint now) {
-  return member.failures * Decay(now - member.judged_at, kFailureHalfLifeSeconds);
+double InstanceChooser::FailureRateOf(const Member& member, base::TimePoint now) {
+  return member.failure_rate * Decay(now - member.failure_rate_updated_at, kFailureHalfLifeSeconds);
 }
 
-double InstanceChooser::ScoreOf(const Member& member, double prior_ms, base::TimePoint now) const {
-  double latency_ms = prior_ms;
+double InstanceChooser::ScoreOf(const Member& member, double baseline_ms,
+                                base::TimePoint now) const {
+  double latency_ms = baseline_ms;
   if (member.latency_ms > 0) {
-    const double weight = Decay(now - member.sampled_at, kLatencyHalfLifeSeconds);
-    latency_ms = weight * member.latency_ms + (1 - weight) * std::min(prior_ms, member.latency_ms);
+    const double weight = Decay(now - member.latency_updated_at, kLatencyHalfLifeSeconds);
+    latency_ms =
+        weight * member.latency_ms + (1 - weight) * std::min(baseline_ms, member.latency_ms);
   }
   if (member.record.slowdown_steps > 0) {
-    latency_ms = std::max(latency_ms, prior_ms * std::exp2(member.record.slowdown_steps));
+    latency_ms = std::max(latency_ms, baseline_ms * std::exp2(member.record.slowdown_steps));
   }
   if (member.record.warm_up_left_ms > 0) {
-    latency_ms *= 1.5;  // A cold instance is slow but has to get its share to become warm.
+    latency_ms *= 1.5;  // A cold instance is slow, but needs requests to warm up.
   }
   const double utilization = UtilizationOf(member, now);
-  const double crowding = 1 + 3 * utilization * utilization + (utilization > kFullShare ? 10 : 0);
-  const double failures = FailuresOf(member, now);
-  const double failing = 1 + 12 * failures * failures + 2 * failures;
-  return latency_ms * crowding * failing;
+  const double load_factor =
+      1 + 3 * utilization * utilization + (utilization > kFullUtilization ? 10 : 0);
+  const double failure_rate = FailureRateOf(member, now);
+  const double failure_factor = 1 + 12 * failure_rate * failure_rate + 2 * failure_rate;
+  return latency_ms * load_factor * failure_factor;
 }
 
-const directory::InstanceRecord* InstanceChooser::Choose(const std::string& service,
-                                                         wire::RequestOrigin origin,
-                                                         const std::vector<std::string>& tried,
-                                                         TriedUse use, base::TimePoint now,
-                                                         const base::Random& random) {
+const directory::InstanceRecord* InstanceChooser::Choose(
+    const std::string& service, wire::RequestOrigin origin, const std::vector<std::string>& tried,
+    CandidateFilter filter, base::TimePoint now, const base::Random& random) {
   const auto found = services_.find(service);
   if (found == services_.end()) {
     return nullptr;
   }
-  double prior_ms = 0;
-  std::size_t sampled = 0;
+  double baseline_ms = 0;
+  std::size_t sampled_count = 0;
   for (const Member& member : found->second) {
     if (member.latency_ms > 0) {
-      prior_ms = sampled == 0 ? member.latency_ms : std::min(prior_ms, member.latency_ms);
-      ++sampled;
+      baseline_ms =
+          sampled_count == 0 ? member.latency_ms : std::min(baseline_ms, member.latency_ms);
+      ++sampled_count;
     }
   }
-  prior_ms = sampled == 0 ? kFirstLatencyMs : prior_ms;
+  baseline_ms = sampled_count == 0 ? kDefaultLatencyMs : baseline_ms;
   const Member* best = nullptr;
-  // Lower ranks go first: by crossings between zones while there is room, full or failing ones,
-  // ones that leave or were found gone.
+  // The lowest rank wins: first the instances with free capacity, by zone crossings, then those
+  // that are full, failing or slow, then those that are silent, leaving or were found unavailable.
   std::uint32_t best_rank = 0;
   double best_score = 0;
   for (const Member& member : found->second) {
     const bool was_tried = std::find(tried.begin(), tried.end(), member.record.node) != tried.end();
-    if (was_tried != (use == TriedUse::kOnly)) {
+    if (was_tried != (filter == CandidateFilter::kOnlyTried)) {
       continue;
     }
     std::uint32_t rank = kFullRank;
     const bool is_silent = is_silent_ && is_silent_(member.record.node);
     if (is_silent || member.avoid_until > now ||
         member.record.state == directory::InstanceState::kLeaving) {
-      rank = kLeavingRank;
-    } else if (UtilizationOf(member, now) < kFullShare && FailuresOf(member, now) < kFailingShare &&
+      rank = kUnavailableRank;
+    } else if (UtilizationOf(member, now) < kFullUtilization &&
+               FailureRateOf(member, now) < kFailingRate &&
                member.record.slowdown_steps < kSlowSteps) {
-      rank = CrossingsOf(member.record, origin);
+      rank = ZoneCrossingsOf(member.record, origin);
     }
     const double spread = 1 + kScoreSpread * (base::DrawFraction(random) - 0.5);
-    const double score = ScoreOf(member, prior_ms, now) * spread;
+    const double score = ScoreOf(member, baseline_ms, now) * spread;
     if (best == nullptr || rank < best_rank || (rank == best_rank && score < best_score)) {
       best = &member;
       best_rank = rank;
@@ -152,42 +157,44 @@
 }
 
 void InstanceChooser::RecordEnd(const std::string& service, const std::string& node,
-                                const std::string& instance, AttemptEnd end, base::Duration took,
-                                const wire::LoadReport* load, base::TimePoint now) {
+                                const std::string& instance, AttemptOutcome outcome,
+                                base::Duration took, const wire::LoadReport* load,
+                                base::TimePoint now) {
   Member* member = FindMember(service, node);
   if (member == nullptr || member->record.instance != instance) {
     return;
   }
   member->in_flight -= member->in_flight > 0 ? 1 : 0;
   if (load != nullptr && load->limit > 0) {
-    member->reported = static_cast<double>(load->in_flight) / load->limit;
+    member->reported_utilization = static_cast<double>(load->in_flight) / load->limit;
     member->reported_at = now;
   }
   const double took_ms = 1e3 * Seconds(took);
-  // An attempt that was given up took at least this long.
+  // A cancelled attempt would have taken at least this long.
   const bool is_latency_known =
-      end == AttemptEnd::kServed || (end == AttemptEnd::kNoWord && took_ms > member->latency_ms);
+      outcome == AttemptOutcome::kServed ||
+      (outcome == AttemptOutcome::kCancelled && took_ms > member->latency_ms);
   if (is_latency_known) {
     member->latency_ms = member->latency_ms == 0
                              ? took_ms
                              : (1 - kLatencyWeight) * member->latency_ms + kLatencyWeight * took_ms;
-    member->sampled_at = now;
+    member->latency_updated_at = now;
   }
-  if (end == AttemptEnd::kGone) {
+  if (outcome == AttemptOutcome::kUnavailable) {
     member->avoid_until = now + kAvoidTime;
-  } else if (end != AttemptEnd::kNoWord) {
-    const double failed = end == AttemptEnd::kServed ? 0 : 1;
-    const double failures = FailuresOf(*member, now);
-    member->failures = failures + kFailureWeight * (failed - failures);
-    member->judged_at = now;
+  } else if (outcome != AttemptOutcome::kCancelled) {
+    const double failed = outcome == AttemptOutcome::kServed ? 0 : 1;
+    const double failure_rate = FailureRateOf(*member, now);
+    member->failure_rate = failure_rate + kFailureWeight * (failed - failure_rate);
+    member->failure_rate_updated_at = now;
   }
 }
 
-std::uint32_t InstanceChooser::CrossingsOf(const directory::InstanceRecord& record,
-                                           wire::RequestOrigin origin) const {
+std::uint32_t InstanceChooser::ZoneCrossingsOf(const directory::InstanceRecord& record,
+                                               wire::RequestOrigin origin) const {
   const std::uint32_t first = record.zone == zone_ ? 0 : 1;
   const bool is_call = origin == wire::RequestOrigin::kUpstream;
-  return first + (is_call ? std::min(record.remote_calls, kMostRemoteCalls) : 0);
+  return first + (is_call ? std::min(record.remote_calls, kMaxRemoteCalls) : 0);
 }
 
 bool InstanceChooser::HasInstanceInZone(const std::string& service) const {
@@ -199,17 +206,17 @@
          });
 }
 
-double InstanceChooser::TypicalLatencyMs(const std::string& service) const {
+double InstanceChooser::MeanLatencyMs(const std::string& service) const {
   const auto found = services_.find(service);
   double sum = 0;
-  std::size_t sampled = 0;
+  std::size_t sampled_count = 0;
   if (found != services_.end()) {
     for (const Member& member : found->second) {
       sum += member.latency_ms;
-      sampled += member.latency_ms > 0 ? 1 : 0;
+      sampled_count += member.latency_ms > 0 ? 1 : 0;
     }
   }
-  return sampled == 0 ? 0 : sum / static_cast<double>(sampled);
+  return sampled_count == 0 ? 0 : sum / static_cast<double>(sampled_count);
 }
 
 bool InstanceChooser::IsLeaf(const std::string& service) const {
--- a/libraries/request_path/instance_chooser.h
+++ b/libraries/request_path/instance_chooser.h
@@ -14,98 +14,101 @@
 
 namespace borageloft::request_path {
 
-/** How an attempt at an instance ended, as far as the choice of the next one is concerned. */
-enum class AttemptEnd {
-  kServed,   // A whole answer that is no server error.
-  kFailed,   // A server error, or no whole answer.
-  kRefused,  // The instance rejected it under load, or its gate had no room.
-  kGone,     // The gate has no such instance, or it is leaving.
-  kNoWord,   // The attempt was given up; only the time it took is known.
+/** Outcome of an attempt at an instance, as far as it affects later choices. */
+enum class AttemptOutcome {
+  kServed,       // A complete answer that is not a server error.
+  kFailed,       // A server error, or no complete answer.
+  kRefused,      // The instance rejected it under load, or the gate refused it.
+  kUnavailable,  // The instance or its node is gone, leaving or unreachable.
+  kCancelled,    // The attempt was cancelled; only the time that it took is known.
 };
 
-/** What the nodes that were tried already mean for the next choice. */
-enum class TriedUse {
-  kLeaveOut,
-  kOnly,
+/** Which nodes are candidates for the next attempt. */
+enum class CandidateFilter {
+  kExcludeTried,  // Those that were not tried.
+  kOnlyTried,     // Those that were tried.
 };
 
 /**
- * Chooses the instance of a service for each attempt: the one in the own availability
- * zone, or over which a call and the calls below it cross zones least often, as long as it has room
- * and works, then by latency, load and failures as this node has seen them and as gates have
- * reported. Callers' requests stay in the zone because their answers are long. Not thread-safe.
+ * Chooses the instance of a service for each attempt. Among the instances with free capacity that
+ * work, a request of a caller prefers those in this node's zone, because its answer is long. A call
+ * of an upstream prefers those with the fewest zone crossings, by the call and by the calls below
+ * it. Instances of equal rank are compared by latency, load and failure rate as seen by this node
+ * and as reported by the gates. Not thread-safe.
  */
 class InstanceChooser {
  public:
   /** @param zone This node's availability zone. */
   explicit InstanceChooser(std::string zone) : zone_(std::move(zone)) {}
 
-  /** Sets the hook that tells whether a node has not answered for longer than it should. */
+  /** Sets the hook that returns whether a node has been silent for longer than expected. */
   void set_is_silent(std::function<bool(const std::string& node)> hook) {
     is_silent_ = std::move(hook);
   }
 
-  /** Replaces the records; what was learnt of an instance that stays is kept. */
+  /** Replaces the records. The statistics of instances that remain are kept. */
   void Update(const std::map<std::string, directory::InstanceRecord>& records);
 
   /**
-   * @param origin Whether it is a caller's request or a call of an upstream.
-   * @param tried Nodes that were tried already.
-   * @param use Whether they are left out, or alone come into question.
-   * @return The record of the chosen instance, or null. Counts nothing as sent.
+   * Chooses an instance without recording an attempt.
+   * @param origin Whether this is a request of a caller or a call of an upstream.
+   * @param tried Nodes that were tried before.
+   * @param filter Whether the tried nodes are excluded or are the only candidates.
+   * @return The record of the chosen instance; null if there is no candidate.
    */
   const directory::InstanceRecord* Choose(const std::string& service, wire::RequestOrigin origin,
-                                          const std::vector<std::string>& tried, TriedUse use,
-                                          base::TimePoint now, const base::Random& random);
+                                          const std::vector<std::string>& tried,
+                                          CandidateFilter filter, base::TimePoint now,
+                                          const base::Random& random);
 
   /** Records that an attempt was sent to the instance at @p node. */
   void RecordStart(const std::string& service, const std::string& node);
 
   /**
-   * Records the end of an attempt.
-   * @param took Time from the start of the attempt.
-   * @param load What the gate reported; null if it reported nothing.
+   * Records the end of an attempt. Ignored if the node has another instance by now.
+   * @param took Time since the start of the attempt.
+   * @param load Load that the gate reported; null if it reported none.
    */
   void RecordEnd(const std::string& service, const std::string& node, const std::string& instance,
-                 AttemptEnd end, base::Duration took, const wire::LoadReport* load,
+                 AttemptOutcome outcome, base::Duration took, const wire::LoadReport* load,
                  base::TimePoint now);
 
-  /** @return Mean latency over the instances that have answered, in milliseconds; 0 if none has. */
-  double TypicalLatencyMs(const std::string& service) const;
+  /** @return Mean latency of the instances with a known latency, in milliseconds; 0 if none has. */
+  double MeanLatencyMs(const std::string& service) const;
 
-  /** @return Whether the service is known to make no calls. */
+  /** @return Whether the service is known to make no calls to other services. */
   bool IsLeaf(const std::string& service) const;
 
-  /** @return Whether the service has an instance that takes work. */
+  /** @return Whether an instance of the service is known, in whatever state. */
   bool HasInstance(const std::string& service) const;
 
-  /** @return Whether the service has an instance that takes work in this node's zone. */
+  /** @return Whether the service has a serving instance in this node's zone. */
   bool HasInstanceInZone(const std::string& service) const;
 
-  /** @return Share of the slots in use over all instances of a service, as far as known. */
+  /** @return Known share of the slots of all instances of a service that is in use. */
   double Utilization(const std::string& service, base::TimePoint now) const;
 
  private:
   struct Member {
     directory::InstanceRecord record;
     std::uint32_t in_flight = 0;
-    double latency_ms = 0;  // Zero until the first answer.
-    double failures = 0;    // Moving share of attempts that failed or were refused.
-    double reported = 0;    // Share of the slots in use, as last reported.
+    double latency_ms = 0;    // Zero until the first answer.
+    double failure_rate = 0;  // Moving average share of attempts that failed or were refused.
+    double reported_utilization = 0;  // Share of the slots in use as last reported by the gate.
     base::TimePoint reported_at{};
-    base::TimePoint sampled_at{};
-    base::TimePoint judged_at{};    // When `failures` last changed.
-    base::TimePoint avoid_until{};  // Set when the instance was gone or unreachable.
+    base::TimePoint latency_updated_at{};       // When `latency_ms` last changed.
+    base::TimePoint failure_rate_updated_at{};  // When `failure_rate` last changed.
+    base::TimePoint avoid_until{};              // Set after an attempt that ended as kUnavailable.
   };
 
   using Members = std::vector<Member>;
 
   Member* FindMember(const std::string& service, const std::string& node);
   double UtilizationOf(const Member& member, base::TimePoint now) const;
-  std::uint32_t CrossingsOf(const directory::InstanceRecord& record,
-                            wire::RequestOrigin origin) const;
-  static double FailuresOf(const Member& member, base::TimePoint now);
-  double ScoreOf(const Member& member, double prior_ms, base::TimePoint now) const;
+  std::uint32_t ZoneCrossingsOf(const directory::InstanceRecord& record,
+                                wire::RequestOrigin origin) const;
+  static double FailureRateOf(const Member& member, base::TimePoint now);
+  double ScoreOf(const Member& member, double baseline_ms, base::TimePoint now) const;
 
   std::string zone_;
   std::function<bool(const std::string& node)> is_silent_;
--- a/libraries/request_path/local_gate.cc
+++ b/libraries/request_path/local_gate.cc
@@ -9,11 +9,12 @@
 namespace {
 
 constexpr unsigned kFirstServerError = 500;
-// Interval at which waiting requests are checked against their time.
+// Interval between checks for waiting requests whose time is up.
 constexpr std::chrono::milliseconds kSweepInterval{10};
-// A request waits behind others that have this much more time, for each step of its priority.
+// Added to the due time of a request for each step of its priority number, so that it also waits
+// behind more important requests that are due by this much later.
 constexpr std::chrono::milliseconds kPriorityDelay{60};
-// Weight of one request in the moving service time.
+// Weight of one request in the moving average of the service time.
 constexpr double kServiceTimeWeight = 0.05;
 
 double Milliseconds(base::Duration duration) {
@@ -39,7 +40,7 @@
       log_(log),
       level_(options.target_delay, options.control_interval),
       sweep_(timers.SubscribeEvery(kSweepInterval,
-                                   [this](base::TimePoint now) { DropOverdue(now); })) {}
+                                   [this](base::TimePoint now) { RefuseOverdue(now); })) {}
 
 LocalGate::~LocalGate() { timers_.Unsubscribe(sweep_); }
 
@@ -47,21 +48,21 @@
   const base::TimePoint now = clock_();
   const std::uint64_t id = next_id_++;
   Refusal refusal = FindRefusal(request, now);
-  Entry entry;
-  entry.arrived = now;
-  entry.deadline = now + request.remaining;
-  entry.wait_until = now + WaitLimit(request);
-  entry.instance = instance_.instance();
+  TrackedRequest tracked;
+  tracked.arrived = now;
+  tracked.deadline = now + request.remaining;
+  tracked.wait_until = now + WaitLimit(request);
+  tracked.instance = instance_.instance();
   const admission::ClassRank importance = RankOf(request.placement);
   const admission::ShedKey key(request.placement.shed_key);
-  entry.rank = {level_.level().Admits(importance, key) ? 0 : importance,
-                entry.wait_until + request.placement.priority * kPriorityDelay, id};
+  tracked.queue_key = {level_.level().Admits(importance, key) ? 0 : importance,
+                       tracked.wait_until + request.placement.priority * kPriorityDelay, id};
   level_.RecordArrival(importance, key);
   const bool has_room = running_ < Limit() && waiting_.empty();
   if (refusal == Refusal::kNone && !has_room) {
-    const auto ahead =
-        static_cast<std::size_t>(std::distance(waiting_.begin(), waiting_.lower_bound(entry.rank)));
-    if (now + ExpectedWait(ahead) > entry.wait_until) {
+    const auto ahead = static_cast<std::size_t>(
+        std::distance(waiting_.begin(), waiting_.lower_bound(tracked.queue_key)));
+    if (now + ExpectedWait(ahead) > tracked.wait_until) {
       refusal = Refusal::kQueueFull;
     }
   }
@@ -71,16 +72,16 @@
     handler(MakeRefusal(refusal, Load()));
     return GateTicket{id};
   }
-  entry.request_id = request.context.root;
-  entry.placement = request.placement;
-  entry.request = std::move(request);
-  entry.handler = std::move(handler);
-  const Rank rank = entry.rank;
-  entries_.emplace(id, std::move(entry));
+  tracked.request_id = request.context.root;
+  tracked.placement = request.placement;
+  tracked.request = std::move(request);
+  tracked.handler = std::move(handler);
+  const QueueKey queue_key = tracked.queue_key;
+  requests_.emplace(id, std::move(tracked));
   if (has_room) {
     Start(id);
   } else {
-    waiting_.emplace(rank, id);
+    waiting_.emplace(queue_key, id);
   }
   return GateTicket{id};
 }
@@ -90,7 +91,7 @@
   if (request.placement.origin == wire::RequestOrigin::kUpstream) {
     return stated;
   }
-  // A root that begins with less time than the work takes would only waste that work.
+  // A root request that starts with less time than its service takes would only waste that work.
   const base::Duration spare = request.remaining - FromMilliseconds(service_time_ms_);
   return std::clamp(spare, base::Duration::zero(), stated);
 }
@@ -123,24 +124,24 @@
 }
 
 void LocalGate::Start(std::uint64_t id) {
-  Entry& entry = entries_.at(id);
+  TrackedRequest& tracked = requests_.at(id);
   const base::TimePoint now = clock_();
-  entry.is_running = true;
-  entry.started = now;
+  tracked.is_running = true;
+  tracked.started = now;
   ++running_;
-  running_ids_[entry.request_id] = id;
+  running_ids_[tracked.request_id] = id;
   ++counters_.started;
-  counters_.calls_started += entry.placement.origin == wire::RequestOrigin::kUpstream ? 1 : 0;
-  if (entry.rank.held_back == 0) {
-    level_.RecordWait(now - entry.arrived);
+  counters_.calls_started += tracked.placement.origin == wire::RequestOrigin::kUpstream ? 1 : 0;
+  if (tracked.queue_key.unadmitted_class == 0) {
+    level_.RecordWait(now - tracked.arrived);
   }
-  entry.request.remaining = entry.deadline - now;
-  entry.request.placement.instance = instance_.instance();
+  tracked.request.remaining = tracked.deadline - now;
+  tracked.request.placement.instance = instance_.instance();
   CancelHook cancel =
-      run_(std::move(entry.request), entry.deadline,
+      run_(std::move(tracked.request), tracked.deadline,
            [this, id](wire::Response response) { Finish(id, std::move(response)); });
-  // The request may have ended at once.
-  if (const auto found = entries_.find(id); found != entries_.end()) {
+  // The request may have ended before the hook returned.
+  if (const auto found = requests_.find(id); found != requests_.end()) {
     found->second.cancel = std::move(cancel);
   }
 }
@@ -150,11 +151,11 @@
     const std::uint64_t id = waiting_.begin()->second;
     waiting_.erase(waiting_.begin());
     const base::TimePoint now = clock_();
-    const Entry& entry = entries_.at(id);
-    const Refusal refusal = entry.deadline <= now ? Refusal::kDeadlinePassed
-                            : entry.instance != instance_.instance()
+    const TrackedRequest& tracked = requests_.at(id);
+    const Refusal refusal = tracked.deadline <= now ? Refusal::kDeadlinePassed
+                            : tracked.instance != instance_.instance()
                                 ? Refusal::kInstanceGone
-                                : FindRefusal(entry.request, now);
+                                : FindRefusal(tracked.request, now);
     if (refusal != Refusal::kNone) {
       Refuse(id, refusal);
     } else {
@@ -164,20 +165,20 @@
 }
 
 void LocalGate::Finish(std::uint64_t id, wire::Response response) {
-  const auto found = entries_.find(id);
-  if (found == entries_.end()) {
+  const auto found = requests_.find(id);
+  if (found == requests_.end()) {
     return;
   }
-  Entry entry = std::move(found->second);
-  entries_.erase(found);
-  VERIFY(entry.is_running && running_ > 0);
+  TrackedRequest tracked = std::move(found->second);
+  requests_.erase(found);
+  VERIFY(tracked.is_running && running_ > 0);
   level_.RecordFinish(static_cast<double>(running_) / static_cast<double>(Limit()));
-  EndRunning(entry, id);
+  ReleaseSlot(tracked, id);
   if (response.outcome == wire::Outcome::kRan) {
     const base::TimePoint now = clock_();
-    const double took = Milliseconds(now - entry.started);
-    slowness_.RecordEnd(entry.placement.origin, now - entry.started, now);
-    if (entry.has_failed_call && response.status >= kFirstServerError) {
+    const double took = Milliseconds(now - tracked.started);
+    slowness_.RecordEnd(tracked.placement.origin, now - tracked.started, now);
+    if (tracked.has_failed_call && response.status >= kFirstServerError) {
       response.reason = std::string(TextOf(Refusal::kCallFailed));
     }
     service_time_ms_ = service_time_ms_ == 0 ? took
@@ -189,57 +190,57 @@
     ++counters_.lost;
   }
   response.load = Load();
-  entry.handler(std::move(response));
+  tracked.handler(std::move(response));
   StartNext();
 }
 
 void LocalGate::Refuse(std::uint64_t id, Refusal refusal) {
-  const auto found = entries_.find(id);
-  VERIFY(found != entries_.end() && !found->second.is_running);
-  Entry entry = std::move(found->second);
-  entries_.erase(found);
+  const auto found = requests_.find(id);
+  VERIFY(found != requests_.end() && !found->second.is_running);
+  TrackedRequest tracked = std::move(found->second);
+  requests_.erase(found);
   ++counters_.refused;
-  LogRefusal(entry.request, refusal, clock_() - entry.arrived);
-  entry.handler(MakeRefusal(refusal, Load()));
+  LogRefusal(tracked.request, refusal, clock_() - tracked.arrived);
+  tracked.handler(MakeRefusal(refusal, Load()));
 }
 
 void LocalGate::Cancel(GateTicket ticket) {
   const auto id = static_cast<std::uint64_t>(ticket);
-  const auto found = entries_.find(id);
-  if (found == entries_.end()) {
+  const auto found = requests_.find(id);
+  if (found == requests_.end()) {
     return;
   }
-  Entry entry = std::move(found->second);
-  entries_.erase(found);
+  TrackedRequest tracked = std::move(found->second);
+  requests_.erase(found);
   ++counters_.cancelled;
   wire::Response response = MakeRefusal(Refusal::kDeadlinePassed, {});
-  if (entry.is_running) {
+  if (tracked.is_running) {
     const base::TimePoint now = clock_();
-    slowness_.RecordGivenUp(entry.placement.origin, now - entry.started, now);
-    EndRunning(entry, id);
-    if (entry.cancel) {
-      entry.cancel();
+    slowness_.RecordCancelled(tracked.placement.origin, now - tracked.started, now);
+    ReleaseSlot(tracked, id);
+    if (tracked.cancel) {
+      tracked.cancel();
     }
     response.outcome = wire::Outcome::kUnknown;
   } else {
-    waiting_.erase(entry.rank);
+    waiting_.erase(tracked.queue_key);
   }
   response.load = Load();
-  entry.handler(std::move(response));
+  tracked.handler(std::move(response));
   StartNext();
 }
 
-void LocalGate::DropOverdue(base::TimePoint now) {
+void LocalGate::RefuseOverdue(base::TimePoint now) {
   std::vector<std::uint64_t> overdue;
-  for (const auto& [rank, id] : waiting_) {
-    if (entries_.at(id).wait_until <= now) {
+  for (const auto& [queue_key, id] : waiting_) {
+    if (requests_.at(id).wait_until <= now) {
       overdue.push_back(id);
     }
   }
   for (const std::uint64_t id : overdue) {
-    // A handler of an earlier one may have cancelled it.
-    const auto found = entries_.find(id);
-    if (found != entries_.end() && waiting_.erase(found->second.rank) > 0) {
+    // The handler of an earlier request may have cancelled this one.
+    const auto found = requests_.find(id);
+    if (found != requests_.end() && waiting_.erase(found->second.queue_key) > 0) {
       Refuse(id,
              found->second.deadline <= now ? Refusal::kDeadlinePassed : Refusal::kWaitedTooLong);
     }
@@ -252,18 +253,18 @@
 
 base::Duration LocalGate::OldestWait(base::TimePoint now) const {
   base::Duration oldest = base::Duration::zero();
-  for (const auto& [rank, id] : waiting_) {
-    if (rank.held_back > 0) {
-      break;  // The level has taken these into account already.
+  for (const auto& [queue_key, id] : waiting_) {
+    if (queue_key.unadmitted_class > 0) {
+      break;  // The rest is above the level, which already accounts for them.
     }
-    oldest = std::max(oldest, now - entries_.at(id).arrived);
+    oldest = std::max(oldest, now - requests_.at(id).arrived);
   }
   return oldest;
 }
 
-void LocalGate::EndRunning(const Entry& entry, std::uint64_t id) {
+void LocalGate::ReleaseSlot(const TrackedRequest& tracked, std::uint64_t id) {
   --running_;
-  const auto running = running_ids_.find(entry.request_id);
+  const auto running = running_ids_.find(tracked.request_id);
   if (running != running_ids_.end() && running->second == id) {
     running_ids_.erase(running);
   }
@@ -271,13 +272,13 @@
 
 void LocalGate::NoteFailedCall(const std::string& request_id) {
   if (const auto running = running_ids_.find(request_id); running != running_ids_.end()) {
-    entries_.at(running->second).has_failed_call = true;
+    requests_.at(running->second).has_failed_call = true;
   }
 }
 
 const wire::Placement* LocalGate::FindRunning(const std::string& request_id) const {
   const auto running = running_ids_.find(request_id);
-  return running == running_ids_.end() ? nullptr : &entries_.at(running->second).placement;
+  return running == running_ids_.end() ? nullptr : &requests_.at(running->second).placement;
 }
 
 wire::LoadReport LocalGate::Load() const {
@@ -304,7 +305,7 @@
 }
 
 void LocalGate::LogRefusal(const wire::Request& request, Refusal refusal, base::Duration waited) {
-  log_.Write(LogShare::kAlways, "gate_refused",
+  log_.Write(LogSampling::kAlways, "gate_refused",
              {{"request", request.context.root},
               {"service", request.service},
               {"instance", instance_.instance()},
--- a/libraries/request_path/local_gate.h
+++ b/libraries/request_path/local_gate.h
@@ -18,54 +18,57 @@
 
 namespace borageloft::request_path {
 
-/** Receives the end of a request exactly once. */
+/** Receives the response to a request, or why there is none. Called exactly once unless stated. */
 using ResponseHandler = std::function<void(wire::Response response)>;
 
 /**
- * Gives up a request that was handed on; its handler is then told, now or soon, whether it may have
- * run. May be empty, and may be called after the end.
+ * Cancels a request that was passed on. Whether its handler is still called is stated where the
+ * hook is returned. May be empty, and may be called after the request has ended.
  */
 using CancelHook = std::function<void()>;
 
 /**
  * Runs a request at the local upstream.
  * @param deadline When the caller stops waiting.
+ * @return Hook that cancels the request; it need not call @p handler.
  */
 using RunHook = std::function<CancelHook(wire::Request request, base::TimePoint deadline,
                                          ResponseHandler handler)>;
 
-/** Names one request at a gate. */
+/** Identifies a request at a gate. */
 enum class GateTicket : std::uint64_t {};
 
 /** Settings of a gate. */
 struct LocalGateOptions {
-  /** Share of the instance's slots that is used; some upstreams slow down when nearly full. */
+  /** Share of the slots of the instance that is used; some upstreams slow down when nearly full. */
   double slot_share = 0.95;
-  /** Time after the leave was acknowledged during which work is still taken, so that the other
-   * nodes learn of it before they are refused. Well below the deployment's drain bound. */
+  /** Time after the acknowledged leave of the instance during which requests are still accepted, so
+   * that the other nodes learn of the leave before they are refused. Well below the time limit of
+   * the deployment for a drain. */
   base::Duration leave_grace = std::chrono::milliseconds(700);
-  /** Queueing delay to which the admission level steers. */
+  /** Target queueing delay of the admission level's controller. */
   base::Duration target_delay = std::chrono::milliseconds(4);
-  /** Time between changes of the admission level. */
+  /** Time between updates of the admission level. */
   base::Duration control_interval = std::chrono::milliseconds(50);
 };
 
 /** Counters of a gate, for metrics. */
 struct GateCounters {
   std::uint64_t started = 0;
-  std::uint64_t calls_started = 0;  // Of those, calls of other upstreams.
-  std::uint64_t refused = 0;
-  std::uint64_t rejected = 0;  // By the upstream itself.
-  std::uint64_t lost = 0;
+  std::uint64_t calls_started = 0;  // Those of `started` that were calls of other upstreams.
+  std::uint64_t refused = 0;        // By the gate.
+  std::uint64_t rejected = 0;       // Started, but not run by the upstream.
+  std::uint64_t lost = 0;           // Started, with an unknown outcome.
   std::uint64_t cancelled = 0;
 };
 
 /**
- * The gate in front of the instance on this host. All requests for the instance pass it, so it
- * knows how many run. It never starts more than the instance has slots; requests beyond that wait
- * for a bounded time: those within the admission level first, by their due time, then the others by
- * importance. A call of a root that the entries do not shed yet is thus not refused, but the same
- * roots go first at every gate. A refused request has not run and never will. Not thread-safe.
+ * Concurrency limiter and priority queue in front of the instance on this host. All requests for
+ * the instance pass through it, so it knows how many run, and it never starts more than the
+ * instance has slots. Further requests wait for a limited time. Requests that the admission level
+ * admits start first, ordered by due time, then the others by importance. A call below a root
+ * request that the entries do not shed yet is thus not refused for the level, and the same root
+ * requests go first at every gate. A refused request has not run and will not run. Not thread-safe.
  */
 class LocalGate {
  public:
@@ -76,28 +79,29 @@
   LocalGate(const LocalGate&) = delete;
   LocalGate& operator=(const LocalGate&) = delete;
 
-  /** Takes a request. @p handler may be called before this returns. */
+  /** Starts, queues or refuses a request. @p handler may be called before this returns. */
   GateTicket Submit(wire::Request request, ResponseHandler handler);
 
-  /** Gives up a request. Its handler is told whether it may have run, unless it has ended. */
+  /** Cancels a request. Its handler is told whether it may have run, unless it has ended. */
   void Cancel(GateTicket ticket);
 
-  /** Refuses every further request as not run; those that run go on. */
+  /** Refuses all further and waiting requests as not run; those that run continue. */
   void StopTaking() { is_taking_ = false; }
 
-  /** @return Load to report with answers and in the directory. */
+  /** @return Load to report with responses and in the directory. */
   wire::LoadReport Load() const;
 
-  /** @return Where the running request with this id was placed, or null. */
+  /** @return Placement of the running request with this id; null if there is none. */
   const wire::Placement* FindRunning(const std::string& request_id) const;
 
-  /** Notes that a call made by the running request @p request_id failed. */
+  /** Records that a call made by the running request @p request_id failed. */
   void NoteFailedCall(const std::string& request_id);
 
-  /** @return How much slower than usual the instance has become, in powers of two. */
+  /** @return Slowdown of the instance against its usual service time, in powers of two. */
   std::uint32_t slowdown_steps() const { return slowness_.Steps(clock_()); }
 
-  /** Sets the hook that tells the worst level of the services that the local upstream calls. */
+  /** Sets the hook that returns the most restrictive admission level of the services that the local
+   * upstream calls. */
   void set_downstream_level(std::function<admission::AdmissionLevel()> hook) {
     downstream_level_ = std::move(hook);
   }
@@ -107,21 +111,23 @@
   const GateCounters& counters() const { return counters_; }
 
  private:
-  struct Rank {
-    admission::ClassRank held_back = 0;  // Importance of a request above the level; 0 if within.
-    base::TimePoint due;                 // Latest useful start, later for less important requests.
+  // Sort key of the waiting requests.
+  struct QueueKey {
+    admission::ClassRank unadmitted_class = 0;  // Class of the request, 0 if the level admits it.
+    base::TimePoint due;  // End of the wait, later for less important requests.
     std::uint64_t sequence = 0;
-    friend auto operator<=>(const Rank&, const Rank&) = default;
+    friend auto operator<=>(const QueueKey&, const QueueKey&) = default;
   };
 
-  struct Entry {
+  // A request that waits or runs.
+  struct TrackedRequest {
     wire::Request request;
     ResponseHandler handler;
     base::TimePoint arrived;
     base::TimePoint deadline;
     base::TimePoint wait_until;
     base::TimePoint started;
-    Rank rank;
+    QueueKey queue_key;
     bool is_running = false;
     bool has_failed_call = false;
     CancelHook cancel;
@@ -134,14 +140,14 @@
   Refusal FindRefusal(const wire::Request& request, base::TimePoint now) const;
   std::size_t Limit() const;
   base::Duration OldestWait(base::TimePoint now) const;
-  void EndRunning(const Entry& entry, std::uint64_t id);
+  void ReleaseSlot(const TrackedRequest& tracked, std::uint64_t id);
   base::Duration ExpectedWait(std::size_t ahead) const;
   void Start(std::uint64_t id);
   void StartNext();
   void Finish(std::uint64_t id, wire::Response response);
   void Refuse(std::uint64_t id, Refusal refusal);
   static wire::Response MakeRefusal(Refusal refusal, const wire::LoadReport& load);
-  void DropOverdue(base::TimePoint now);
+  void RefuseOverdue(base::TimePoint now);
   void LogRefusal(const wire::Request& request, Refusal refusal, base::Duration waited);
 
   LocalGateOptions options_;
@@ -150,8 +156,8 @@
   timer::TimerService& timers_;
   RunHook run_;
   DecisionLog& log_;
-  std::unordered_map<std::uint64_t, Entry> entries_;
-  std::map<Rank, std::uint64_t> waiting_;
+  std::unordered_map<std::uint64_t, TrackedRequest> requests_;
+  std::map<QueueKey, std::uint64_t> waiting_;
   std::unordered_map<std::string, std::uint64_t> running_ids_;
   std::function<admission::AdmissionLevel()> downstream_level_;
   admission::LevelController level_;
--- a/libraries/request_path/refusal.h
+++ b/libraries/request_path/refusal.h
@@ -5,33 +5,33 @@
 
 namespace borageloft::request_path {
 
-/** Why a request got no answer of an upstream. */
+/** Reason why a request has no answer from an upstream, or why that answer is an error. */
 enum class Refusal {
   kNone,
-  kNoDeclaration,        // This node knows no declaration yet.
-  kNodeLeaving,          // This node is about to end and takes no further request.
-  kNoRoute,              // No route matches host and path.
-  kMalformed,            // The request lacks its id or has a deadline that is no number.
-  kNoInstance,           // The service has no instance that takes work.
-  kInstanceGone,         // The gate's instance is another one than expected, or there is none.
-  kInstanceLeaving,      // The gate's instance is draining.
-  kInstanceUnreachable,  // The instance takes no connection.
-  kQueueFull,            // The gate has more waiting requests than can be served in time.
-  kWaitedTooLong,        // No slot became free in time.
-  kShedAtEntry,          // The entry gave way to more important requests.
+  kNoDeclaration,        // This node has not received a declaration yet.
+  kNodeLeaving,          // This node is about to stop and accepts no further requests.
+  kNoRoute,              // No route matches the host and path.
+  kMalformed,            // The request has no id or no host, or an invalid timeout.
+  kNoInstance,           // The service has no instance left to try.
+  kInstanceGone,         // The gate has no instance, or not the expected one.
+  kInstanceLeaving,      // The gate's instance is draining, or its node is about to stop.
+  kInstanceUnreachable,  // The instance does not accept connections.
+  kQueueFull,            // The expected wait is too long, or the upstream rejected the request.
+  kWaitedTooLong,        // No slot became free within the wait limit.
+  kShedAtEntry,          // The entry shed the request in favour of more important ones.
   kDeadlinePassed,       // The caller's deadline or the route's timeout passed.
-  kNotSent,              // The connection to the gate's node failed before the request was sent.
-  kConnectionLost,       // The connection to the gate's node failed after the request was sent.
-  kUpstreamLost,         // The connection to the upstream ended without a whole answer.
-  kUpstreamGarbled,      // The upstream sent what is no whole answer of its own.
-  kCallFailed,           // The upstream failed because a call that it made failed.
-  kTooManyBytes,         // This node holds as many bytes of requests as it may.
+  kNotSent,              // The connection to the node of the gate failed before the send.
+  kConnectionLost,       // The connection to the node of the gate failed after the send.
+  kUpstreamLost,         // The connection to the upstream ended before a complete answer.
+  kUpstreamGarbled,      // The answer is malformed, or a success without the seal header.
+  kCallFailed,           // The upstream returned an error after one of its calls failed.
+  kTooManyBytes,         // The request bodies on this node have reached their size limit.
 };
 
-/** @return Stable word for logs, metrics and messages between nodes. */
+/** @return Stable identifier for logs, metrics and messages between nodes. */
 std::string_view TextOf(Refusal refusal);
 
-/** @return The refusal named by @p text, or kUpstreamLost for an unknown word. */
+/** @return The refusal identified by @p text; kUpstreamLost if it is unknown. */
 Refusal RefusalOf(std::string_view text);
 
 }  // namespace borageloft::request_path
--- a/libraries/request_path/request_path.h
+++ b/libraries/request_path/request_path.h
@@ -1,7 +1,7 @@
 #ifndef BORAGELOFT_REQUEST_PATH_REQUEST_PATH_H_
 #define BORAGELOFT_REQUEST_PATH_REQUEST_PATH_H_
 
-/** @file Public header of the request_path library: how a request reaches one upstream instance. */
+/** @file Public header of the request_path library, which routes requests to upstream instances. */
 
 #include "libraries/request_path/decision_log.h"
 #include "libraries/request_path/entry.h"
--- a/libraries/request_path/request_run.cc
+++ b/libraries/request_path/request_run.cc
@@ -15,23 +15,27 @@
 constexpr unsigned kGatewayTimeout = 504;
 constexpr unsigned kFirstServerError = 500;
 
-// Gates asked for one request. A refusal of a gate costs a round trip and no work.
-constexpr std::uint64_t kGatesAsked = 3;
-// Sends of one request in all. More than this would hardly help where so many were rejected.
-constexpr std::uint64_t kMostSends = 8;
-// Share of the target latency that a caller's request may wait for a slot: the rest is for work.
-constexpr int kWaitShare = 4;
-constexpr std::chrono::milliseconds kShortestWait{15};
-// Waiting time for a route that states no target latency.
+// Sends of a request that no upstream has seen yet. A refusal by a gate costs a round trip but no
+// upstream work.
+constexpr std::uint64_t kMaxSendsBeforeArrival = 3;
+// All sends of one request. After so many rejections, another send is unlikely to succeed.
+constexpr std::uint64_t kMaxSends = 8;
+// A request of a caller may wait for a slot for the target latency divided by this; the rest is
+// left for the work.
+constexpr int kWaitDivisor = 4;
+constexpr std::chrono::milliseconds kMinWait{15};
+// Wait limit for a route without a target latency.
 constexpr std::chrono::milliseconds kDefaultWait{100};
-// A repeat needs at least this much time to be of use.
-constexpr std::chrono::milliseconds kLeastTimeForRepeat{30};
-// Refused callers are told to come back while their answer can still be within the target latency,
-// within these bounds: a load that passes needs some time, and few objectives exceed the longest.
-constexpr double kShortestReturnSeconds = 0.3;
-constexpr double kLongestReturnSeconds = 1.0;
-// They come back spread over the time from this part of it on.
-constexpr double kEarliestReturn = 0.4;
+// A retry with less time left than this is unlikely to finish.
+constexpr std::chrono::milliseconds kMinTimeForRetry{30};
+// A refused caller is asked to retry while its answer can still meet the target latency. The latest
+// time for that lies within these bounds: transient overload takes some time to end, and few
+// latency objectives exceed the upper bound.
+constexpr double kMinLatestRetrySeconds = 0.3;
+constexpr double kMaxLatestRetrySeconds = 1.0;
+// Retry-After is drawn between this share of the latest time and the latest time, so that refused
+// callers do not retry all at once.
+constexpr double kEarliestRetryShare = 0.4;
 
 double Milliseconds(base::Duration duration) {
   return std::chrono::duration<double, std::milli>(duration).count();
@@ -45,7 +49,7 @@
 void RequestRun::Start() {
   const base::TimePoint now = entry_.hooks_.clock();
   if (plan_.due <= now) {
-    AnswerSelf(kServiceUnavailable, Refusal::kDeadlinePassed);
+    AnswerWithError(kServiceUnavailable, Refusal::kDeadlinePassed);
     return;
   }
   if (plan_.origin == wire::RequestOrigin::kCaller) {
@@ -53,7 +57,7 @@
     const admission::PathVerdict verdict =
         entry_.levels_.Admit(path, plan_.priority + 1, admission::ShedKey(plan_.shed_key), now);
     if (!verdict.is_admitted) {
-      AnswerSelf(kServiceUnavailable, Refusal::kShedAtEntry);
+      AnswerWithError(kServiceUnavailable, Refusal::kShedAtEntry);
       return;
     }
   }
@@ -66,7 +70,7 @@
   const base::TimePoint now = entry_.hooks_.clock();
   const directory::InstanceRecord* chosen = ChooseNext(now);
   if (chosen == nullptr) {
-    AnswerSelf(kServiceUnavailable, Refusal::kNoInstance);
+    AnswerWithError(kServiceUnavailable, Refusal::kNoInstance);
     return;
   }
   const directory::InstanceRecord instance = *chosen;
@@ -78,26 +82,27 @@
   CancelHook cancel = entry_.hooks_.send(
       instance, MakeRequest(instance, now),
       [self, number](wire::Response response) { self->HandleEnd(number, std::move(response)); });
-  // The attempt may have ended, and another one begun, before this.
+  // The attempt may have ended, and the next one started, before send() returned.
   if (attempt_ && sends_ == number) {
     attempt_->cancel = std::move(cancel);
   }
 }
 
-// A request goes to as many upstreams as its route allows. One that only rejected it may be asked
-// again.
+// A request goes to at most as many upstreams as its route allows. While it cannot have run, it may
+// be sent again to an upstream that rejected it.
 const directory::InstanceRecord* RequestRun::ChooseNext(base::TimePoint now) {
   InstanceChooser& chooser = entry_.chooser_;
   if (reached_.size() < plan_.route.attempts) {
-    const directory::InstanceRecord* fresh = chooser.Choose(
-        plan_.service, plan_.origin, tried_, TriedUse::kLeaveOut, now, entry_.hooks_.random);
+    const directory::InstanceRecord* fresh =
+        chooser.Choose(plan_.service, plan_.origin, tried_, CandidateFilter::kExcludeTried, now,
+                       entry_.hooks_.random);
     if (fresh != nullptr) {
       return fresh;
     }
   }
   return may_have_run_ ? nullptr
-                       : chooser.Choose(plan_.service, plan_.origin, reached_, TriedUse::kOnly, now,
-                                        entry_.hooks_.random);
+                       : chooser.Choose(plan_.service, plan_.origin, reached_,
+                                        CandidateFilter::kOnlyTried, now, entry_.hooks_.random);
 }
 
 wire::Request RequestRun::MakeRequest(const directory::InstanceRecord& instance,
@@ -114,8 +119,8 @@
   request.placement.priority = plan_.priority;
   request.placement.shed_key = plan_.shed_key;
   request.placement.origin = plan_.origin;
-  // Arrivals below a repeated run are repeats themselves.
-  request.placement.attempt = arrivals_ + (plan_.is_below_repeat ? 2 : 1);
+  // Calls made by a retried run count as retries.
+  request.placement.attempt = arrivals_ + (plan_.is_below_retry ? 2 : 1);
   request.placement.wait_limit = WaitLimit();
   request.placement.is_idempotent = plan_.route.repetition == declaration::Repetition::kIdempotent;
   return request;
@@ -124,30 +129,30 @@
 base::Duration RequestRun::WaitLimit() const {
   const base::Duration left = plan_.due - entry_.hooks_.clock();
   if (plan_.origin == wire::RequestOrigin::kUpstream) {
-    // The caller has work done already, so its call waits as long as it can be of use.
+    // The calling upstream has already done work, so its call may wait for half of the time left.
     return left / 2;
   }
   if (plan_.route.target_latency <= base::Duration::zero()) {
     return kDefaultWait;
   }
-  return std::max<base::Duration>(kShortestWait, plan_.route.target_latency / kWaitShare);
+  return std::max<base::Duration>(kMinWait, plan_.route.target_latency / kWaitDivisor);
 }
 
-AttemptEnd RequestRun::Judge(const wire::Response& response) {
+AttemptOutcome RequestRun::Classify(const wire::Response& response) {
   if (response.outcome == wire::Outcome::kRan) {
-    return response.status >= kFirstServerError ? AttemptEnd::kFailed : AttemptEnd::kServed;
+    return response.status >= kFirstServerError ? AttemptOutcome::kFailed : AttemptOutcome::kServed;
   }
   if (response.outcome == wire::Outcome::kUnknown) {
-    return AttemptEnd::kFailed;
+    return AttemptOutcome::kFailed;
   }
   switch (RefusalOf(response.reason)) {
     case Refusal::kInstanceGone:
     case Refusal::kInstanceLeaving:
     case Refusal::kInstanceUnreachable:
     case Refusal::kNotSent:
-      return AttemptEnd::kGone;
+      return AttemptOutcome::kUnavailable;
     default:
-      return AttemptEnd::kRefused;
+      return AttemptOutcome::kRefused;
   }
 }
 
@@ -157,7 +162,7 @@
     entry_.levels_.Report(plan_.service, base::Hash(attempt_->node),
                           {load->level_rank, load->level_share}, now);
   }
-  entry_.chooser_.RecordEnd(plan_.service, attempt_->node, attempt_->instance, Judge(response),
+  entry_.chooser_.RecordEnd(plan_.service, attempt_->node, attempt_->instance, Classify(response),
                             now - attempt_->started, load, now);
 }
 
@@ -168,11 +173,11 @@
   const base::TimePoint now = entry_.hooks_.clock();
   if (is_overdue_) {
     const bool has_run = may_have_run_ || response.outcome != wire::Outcome::kNotRun;
-    AnswerSelf(has_run ? kGatewayTimeout : kServiceUnavailable, Refusal::kDeadlinePassed);
+    AnswerWithError(has_run ? kGatewayTimeout : kServiceUnavailable, Refusal::kDeadlinePassed);
     return;
   }
   RecordEnd(response, now);
-  // An answer of the upstream itself that says "not run" has a status; a gate's refusal has none.
+  // A "not run" answer of the upstream itself has a status; a refusal by a gate has none.
   const bool has_arrived = response.outcome != wire::Outcome::kNotRun || response.status != 0;
   arrivals_ += has_arrived ? 1 : 0;
   if (has_arrived &&
@@ -180,9 +185,9 @@
     reached_.push_back(attempt_->node);
   }
   may_have_run_ = may_have_run_ || response.outcome != wire::Outcome::kNotRun;
-  if (MayRepeat(response, now)) {
+  if (ClaimRetry(response, now)) {
     ++entry_.counters_.repeats;
-    entry_.log_.Write(LogShare::kAlways, "request_sent_again",
+    entry_.log_.Write(LogSampling::kAlways, "request_sent_again",
                       {{"request", plan_.request_id},
                        {"service", plan_.service},
                        {"node", attempt_->node},
@@ -198,30 +203,31 @@
   Conclude(std::move(response));
 }
 
-bool RequestRun::MayRepeat(const wire::Response& response, base::TimePoint now) {
+bool RequestRun::ClaimRetry(const wire::Response& response, base::TimePoint now) {
   const bool is_success =
       response.outcome == wire::Outcome::kRan && response.status < kFirstServerError;
-  if (is_success || plan_.due - now < kLeastTimeForRepeat) {
+  if (is_success || plan_.due - now < kMinTimeForRetry) {
     return false;
   }
   const bool is_idempotent = plan_.route.repetition == declaration::Repetition::kIdempotent;
   if (response.outcome != wire::Outcome::kNotRun && !is_idempotent) {
     return false;
   }
-  // The hop next to the failure has tried what it could; here all calls would be made again.
+  // The hop next to the failure has retried as far as it could; a retry here would make all calls
+  // again.
   if (RefusalOf(response.reason) == Refusal::kCallFailed || ChooseNext(now) == nullptr) {
     return false;
   }
   if (arrivals_ == 0) {
-    return sends_ < kGatesAsked;  // No upstream has seen it, so nothing is repeated.
+    return sends_ < kMaxSendsBeforeArrival;  // No upstream has seen it, so this costs no budget.
   }
-  if (plan_.is_below_repeat || sends_ >= kMostSends) {
+  if (plan_.is_below_retry || sends_ >= kMaxSends) {
     return false;
   }
   const bool makes_calls = !entry_.chooser_.IsLeaf(plan_.service);
-  return entry_.budget_.TakeRepeat(
+  return entry_.budget_.TakeRetry(
       plan_.service,
-      may_have_run_ && makes_calls ? RepeatKind::kRunsAgain : RepeatKind::kOneArrival,
+      may_have_run_ && makes_calls ? RetryKind::kRepeatsCalls : RetryKind::kOneArrival,
       {plan_.priority, admission::ShedKey(plan_.shed_key)}, now);
 }
 
@@ -231,14 +237,14 @@
   }
   timeout_.reset();
   if (!attempt_ || !attempt_->cancel) {
-    AnswerSelf(attempt_ || may_have_run_ ? kGatewayTimeout : kServiceUnavailable,
-               Refusal::kDeadlinePassed);
+    AnswerWithError(attempt_ || may_have_run_ ? kGatewayTimeout : kServiceUnavailable,
+                    Refusal::kDeadlinePassed);
     return;
   }
   const base::TimePoint now = entry_.hooks_.clock();
-  entry_.chooser_.RecordEnd(plan_.service, attempt_->node, attempt_->instance, AttemptEnd::kNoWord,
-                            now - attempt_->started, nullptr, now);
-  // The end of the cancelled attempt tells whether it may have run.
+  entry_.chooser_.RecordEnd(plan_.service, attempt_->node, attempt_->instance,
+                            AttemptOutcome::kCancelled, now - attempt_->started, nullptr, now);
+  // The response to the cancelled attempt tells whether it may have run.
   is_overdue_ = true;
   const CancelHook cancel = attempt_->cancel;
   cancel();
@@ -261,9 +267,9 @@
   if (attempt_) {
     const base::TimePoint now = entry_.hooks_.clock();
     entry_.chooser_.RecordEnd(plan_.service, attempt_->node, attempt_->instance,
-                              AttemptEnd::kNoWord, now - attempt_->started, nullptr, now);
+                              AttemptOutcome::kCancelled, now - attempt_->started, nullptr, now);
   }
-  Log(LogShare::kSampled, "request_abandoned", "caller_left", 0);
+  Log(LogSampling::kSampled, "request_abandoned", "caller_left", 0);
   CancelAttempt();
   answer_ = nullptr;
   if (timeout_) {
@@ -274,21 +280,21 @@
 
 void RequestRun::Conclude(wire::Response response) {
   if (response.outcome == wire::Outcome::kRan) {
-    PassOn(std::move(response));
+    ForwardAnswer(std::move(response));
     return;
   }
   const Refusal refusal = response.status != 0 ? Refusal::kQueueFull : RefusalOf(response.reason);
   if (response.outcome == wire::Outcome::kNotRun && !may_have_run_) {
-    AnswerSelf(kServiceUnavailable, refusal);
+    AnswerWithError(kServiceUnavailable, refusal);
   } else {
-    AnswerSelf(kBadGateway, refusal);
+    AnswerWithError(kBadGateway, refusal);
   }
 }
 
-void RequestRun::PassOn(wire::Response response) {
+void RequestRun::ForwardAnswer(wire::Response response) {
   ++entry_.counters_.answered;
   const bool is_failure = response.status >= kFirstServerError;
-  Log(is_failure ? LogShare::kAlways : LogShare::kSampled, "request_answered",
+  Log(is_failure ? LogSampling::kAlways : LogSampling::kSampled, "request_answered",
       response.reason.empty() ? "upstream" : response.reason, response.status);
   http_stream::ResponseMessage message;
   message.status = response.status;
@@ -297,7 +303,7 @@
   Finish(std::move(message));
 }
 
-void RequestRun::AnswerSelf(unsigned status, Refusal refusal) {
+void RequestRun::AnswerWithError(unsigned status, Refusal refusal) {
   const std::string reason(TextOf(refusal));
   http_stream::ResponseMessage message;
   message.status = status;
@@ -309,17 +315,18 @@
   } else {
     ++entry_.counters_.failed[reason];
   }
-  Log(LogShare::kAlways, status == kServiceUnavailable ? "request_refused" : "request_failed",
+  Log(LogSampling::kAlways, status == kServiceUnavailable ? "request_refused" : "request_failed",
       reason, status);
   Finish(std::move(message));
 }
 
 std::string RequestRun::RetryAfter(base::TimePoint now) const {
   const double spare = std::chrono::duration<double>(plan_.route.target_latency).count() -
-                       1e-3 * entry_.chooser_.TypicalLatencyMs(plan_.service);
-  const double latest = std::clamp(spare, kShortestReturnSeconds, kLongestReturnSeconds);
+                       1e-3 * entry_.chooser_.MeanLatencyMs(plan_.service);
+  const double latest = std::clamp(spare, kMinLatestRetrySeconds, kMaxLatestRetrySeconds);
   const double drawn =
-      latest * (kEarliestReturn + (1 - kEarliestReturn) * base::DrawFraction(entry_.hooks_.random));
+      latest *
+      (kEarliestRetryShare + (1 - kEarliestRetryShare) * base::DrawFraction(entry_.hooks_.random));
   const double left = std::chrono::duration<double>(plan_.deadline - now).count();
   return fmt::format("{:.3f}", std::clamp(drawn, 0.0, std::max(0.0, left / 4)));
 }
@@ -331,21 +338,21 @@
     entry_.timers_.Unsubscribe(*timeout_);
   }
   if (plan_.origin == wire::RequestOrigin::kUpstream && response.status >= kFirstServerError) {
-    entry_.NoteFailedCall(plan_.request_id);
+    entry_.ReportFailedCall(plan_.request_id);
   }
   const AnswerHook answer = std::exchange(answer_, nullptr);
   const auto self = shared_from_this();
-  // The hook that cancels the attempt may hold what holds this run.
+  // The cancel hook of the attempt may own an object that keeps this run alive.
   attempt_.reset();
   entry_.EndRun(plan_.id);
   answer(std::move(response));
 }
 
-void RequestRun::Log(LogShare share, std::string_view event, std::string_view outcome,
+void RequestRun::Log(LogSampling sampling, std::string_view event, std::string_view outcome,
                      unsigned status) const {
   const base::TimePoint now = entry_.hooks_.clock();
   entry_.log_.Write(
-      share, event,
+      sampling, event,
       {{"request", plan_.request_id},
        {"route", plan_.route.name},
        {"service", plan_.service},
--- a/libraries/request_path/request_run.h
+++ b/libraries/request_path/request_run.h
@@ -10,7 +10,7 @@
 
 namespace borageloft::request_path {
 
-/** What a run needs to know of its request. */
+/** Input of a run: the request, its route and its limits. */
 struct RunPlan {
   std::uint64_t id = 0;
   std::string request_id;
@@ -19,22 +19,27 @@
   wire::RequestOrigin origin = wire::RequestOrigin::kCaller;
   std::uint32_t priority = 0;           // Of the root request.
   std::uint64_t shed_key = 0;           // Of the root request.
-  bool is_below_repeat = false;         // The upstream that calls runs a repeated request.
-  http_stream::RequestMessage message;  // Prepared for the upstream.
+  bool is_below_retry = false;          // The calling upstream itself runs a retry.
+  http_stream::RequestMessage message;  // As sent to the upstream.
   base::TimePoint received;
-  base::TimePoint deadline;  // The caller's.
-  base::TimePoint due;       // The caller's deadline or the route's timeout, whichever is first.
+  base::TimePoint deadline;  // Of the caller.
+  base::TimePoint due;       // The caller's deadline or the route's timeout, whichever is earlier.
 };
 
-/** One request of a caller on its way: its attempts, its timeout and its one answer. */
+/**
+ * Processes one request at its entry: its attempts one after the other, its timeout and its single
+ * answer.
+ */
 class RequestRun : public std::enable_shared_from_this<RequestRun> {
  public:
   RequestRun(Entry& entry, RunPlan plan, AnswerHook answer);
 
+  /** Sends the first attempt, or answers at once if the deadline has passed or the root is shed. */
   void Start();
-  /** Ends the run without an answer, because the caller has left. */
+  /** Ends the run without an answer because the caller has disconnected. */
   void Abandon();
 
+  /** @return Size of the request body in bytes. */
   std::size_t held_bytes() const { return plan_.message.body.size(); }
 
  private:
@@ -51,16 +56,17 @@
   base::Duration WaitLimit() const;
   void HandleEnd(std::uint64_t number, wire::Response response);
   void RecordEnd(const wire::Response& response, base::TimePoint now);
-  static AttemptEnd Judge(const wire::Response& response);
-  bool MayRepeat(const wire::Response& response, base::TimePoint now);
+  static AttemptOutcome Classify(const wire::Response& response);
+  bool ClaimRetry(const wire::Response& response, base::TimePoint now);
   void HandleTimeout();
   void CancelAttempt();
   void Conclude(wire::Response response);
-  void PassOn(wire::Response response);
-  void AnswerSelf(unsigned status, Refusal refusal);
+  void ForwardAnswer(wire::Response response);
+  void AnswerWithError(unsigned status, Refusal refusal);
   void Finish(http_stream::ResponseMessage response);
   std::string RetryAfter(base::TimePoint now) const;
-  void Log(LogShare share, std::string_view event, std::string_view outcome, unsigned status) const;
+  void Log(LogSampling sampling, std::string_view event, std::string_view outcome,
+           unsigned status) const;
 
   Entry& entry_;
   RunPlan plan_;
@@ -68,12 +74,12 @@
   std::optional<timer::SubscriptionId> timeout_;
   std::optional<Attempt> attempt_;
   std::uint64_t sends_ = 0;     // Attempts sent to a gate.
-  std::uint32_t arrivals_ = 0;  // Attempts that reached, or may have reached, an upstream.
+  std::uint32_t arrivals_ = 0;  // Attempts that reached or may have reached an upstream.
   bool may_have_run_ = false;
-  bool is_overdue_ = false;  // The time is up, and the attempt was asked to end.
+  bool is_overdue_ = false;  // The timeout has passed and the attempt was cancelled.
   bool is_done_ = false;
-  std::vector<std::string> tried_;    // Nodes asked.
-  std::vector<std::string> reached_;  // Nodes whose upstream was, or may have been, reached.
+  std::vector<std::string> tried_;    // Nodes to which an attempt was sent.
+  std::vector<std::string> reached_;  // Nodes whose upstream was or may have been reached.
 };
 
 }  // namespace borageloft::request_path
--- a/libraries/request_path/retry_budget.cc
+++ b/libraries/request_path/retry_budget.cc
@@ -7,23 +7,23 @@
 
 namespace {
 
-// Time between changes of the level: about one call of a root.
+// Time between changes of the level: about the duration of one call of a root.
 constexpr std::chrono::milliseconds kLevelInterval{100};
-// Without a wish for a repeat for this long the level is open again.
-constexpr std::chrono::seconds kLevelForgotten{2};
-// The planned rate uses up the budget in this part of its window, which most troubles do not
-// outlast; behind it the budget itself is the bound.
-constexpr double kSpendingPart = 0.8;
-// Repeats within an interval that are too few to judge by.
-constexpr double kFewRepeats = 4;
-// Weight of one interval in the moving count of repeats. A node sees few in one interval, and a
-// level that follows their spread leaves a part of the budget unused.
+// The level opens fully after this time without a request for a retry.
+constexpr std::chrono::seconds kLevelResetTime{2};
+// The planned rate spends the budget within this share of the window, longer than most incidents
+// last; after that, the budget itself is the limit.
+constexpr double kSpendingShare = 0.8;
+// Fewer retries than this in an interval are too few to adjust the level by.
+constexpr double kFewRetries = 4;
+// Weight of one interval in the moving average of retries. A node sees few of them in one interval,
+// and a level that follows their variance leaves a part of the budget unused.
 constexpr double kTakenWeight = 0.3;
-// Smallest and largest change of the level in one interval.
-constexpr double kLargestClosing = 0.25;
-constexpr double kLargestOpening = 1.25;
-// A level that closed further would take seconds to open again.
-constexpr std::uint32_t kSmallestLevel = admission::ShedKey::kPositions / 64;
+// Smallest and largest factor by which the level changes in one interval.
+constexpr double kMinLevelFactor = 0.25;
+constexpr double kMaxLevelFactor = 1.25;
+// Lower bound of the level; a lower one would take seconds to open again.
+constexpr std::uint32_t kMinLevel = admission::ShedKey::kPositions / 64;
 
 }  // namespace
 
@@ -35,9 +35,9 @@
   for (std::int64_t step = 0; step < steps; ++step) {
     std::rotate(window.requests.rbegin(), window.requests.rbegin() + 1, window.requests.rend());
     window.requests.front() = 0;
-    for (auto* repeats : {&window.rejected, &window.may_have_run}) {
-      std::rotate(repeats->rbegin(), repeats->rbegin() + 1, repeats->rend());
-      repeats->front() = 0;
+    for (auto* retries : {&window.rejected, &window.may_have_run}) {
+      std::rotate(retries->rbegin(), retries->rbegin() + 1, retries->rend());
+      retries->front() = 0;
     }
   }
   window.bucket = std::max(window.bucket, bucket);
@@ -59,48 +59,48 @@
 }
 
 void RetryBudget::AdjustLevel(Window& window, double limit, base::TimePoint now) const {
-  const base::Duration since = now - window.level_since;
+  const base::Duration since = now - window.level_updated_at;
   if (since < kLevelInterval) {
     return;
   }
-  if (since >= kLevelForgotten) {
+  if (since >= kLevelResetTime) {
     window.level = kOpenLevel;
-    window.taken_rate = 0;
+    window.mean_taken = 0;
   } else {
     const double intervals =
         std::chrono::duration<double>(since) / std::chrono::duration<double>(kLevelInterval);
-    const double planned = limit / (kSpendingPart * std::chrono::duration<double>(options_.window) /
-                                    std::chrono::duration<double>(kLevelInterval));
-    window.taken_rate += kTakenWeight * (window.taken_since / intervals - window.taken_rate);
-    const double ratio = std::max(kFewRepeats, planned) / std::max(1.0, window.taken_rate);
-    // Positions that nobody asked from need no closing.
-    const bool is_closing = ratio < 1 && window.taken_since > 0;
+    const double planned =
+        limit / (kSpendingShare * std::chrono::duration<double>(options_.window) /
+                 std::chrono::duration<double>(kLevelInterval));
+    window.mean_taken += kTakenWeight * (window.taken_in_interval / intervals - window.mean_taken);
+    const double ratio = std::max(kFewRetries, planned) / std::max(1.0, window.mean_taken);
+    // Positions above the highest one used need not be closed first.
+    const bool is_closing = ratio < 1 && window.taken_in_interval > 0;
     const double used =
-        is_closing ? std::min(window.level, window.highest_since + 1) : window.level;
-    const double changed = used * std::clamp(ratio, kLargestClosing, kLargestOpening);
-    window.level =
-        static_cast<std::uint32_t>(std::clamp<double>(changed, kSmallestLevel, kOpenLevel));
-    // The moving count follows the level, so that one cause is corrected once.
-    window.taken_rate *= changed / std::max(1.0, used);
+        is_closing ? std::min(window.level, window.highest_in_interval + 1) : window.level;
+    const double changed = used * std::clamp(ratio, kMinLevelFactor, kMaxLevelFactor);
+    window.level = static_cast<std::uint32_t>(std::clamp<double>(changed, kMinLevel, kOpenLevel));
+    // The average is scaled with the level, so that one deviation is not corrected twice.
+    window.mean_taken *= changed / std::max(1.0, used);
   }
-  window.level_since = now;
-  window.taken_since = 0;
-  window.highest_since = 0;
+  window.level_updated_at = now;
+  window.taken_in_interval = 0;
+  window.highest_in_interval = 0;
 }
 
-std::uint32_t RetryBudget::PositionOf(const RepeatRoot& root) {
+std::uint32_t RetryBudget::PositionOf(const RetryRoot& root) {
   return std::min(root.priority, kPriorities - 1) * admission::ShedKey::kPositions +
          root.key.position();
 }
 
-bool RetryBudget::TakeRepeat(const std::string& service, RepeatKind kind, const RepeatRoot& root,
-                             base::TimePoint now) {
+bool RetryBudget::TakeRetry(const std::string& service, RetryKind kind, const RetryRoot& root,
+                            base::TimePoint now) {
   Window& window = windows_[service];
   Advance(window, now);
-  const bool is_rejected = kind == RepeatKind::kOneArrival;
-  auto& repeats = is_rejected ? window.rejected : window.may_have_run;
+  const bool is_rejected = kind == RetryKind::kOneArrival;
+  auto& retries = is_rejected ? window.rejected : window.may_have_run;
   const double budget = Budget(window);
-  const double taken = std::accumulate(repeats.begin(), repeats.end(), std::uint32_t{0});
+  const double taken = std::accumulate(retries.begin(), retries.end(), std::uint32_t{0});
   if (is_rejected) {
     AdjustLevel(window, kImportantRejectedShare * budget, now);
     if (PositionOf(root) >= window.level) {
@@ -111,10 +111,10 @@
   if (taken + 1 > (is_rejected ? rejected_share : kMayHaveRunShare) * budget) {
     return false;
   }
-  ++repeats.front();
+  ++retries.front();
   if (is_rejected) {
-    ++window.taken_since;
-    window.highest_since = std::max(window.highest_since, PositionOf(root));
+    ++window.taken_in_interval;
+    window.highest_in_interval = std::max(window.highest_in_interval, PositionOf(root));
   }
   return true;
 }
--- a/libraries/request_path/slowness_tracker.h
+++ b/libraries/request_path/slowness_tracker.h
@@ -10,30 +10,31 @@
 namespace borageloft::request_path {
 
 /**
- * Tells by how much an upstream has become slower than it usually is, so that nodes that have not
- * sent it anything lately learn of it from its gate. Requests of callers and calls of upstreams are
- * told apart, since their work differs and their mix changes. Not thread-safe.
+ * Measures by how much an upstream is slower than usual. Its gate reports this, so that nodes that
+ * have not sent it requests lately learn of a slowdown. Requests of callers and calls of upstreams
+ * are tracked separately, since their service times differ and their mix changes. Not thread-safe.
  */
 class SlownessTracker {
  public:
   /** Records the service time of a request that ended. */
   void RecordEnd(wire::RequestOrigin origin, base::Duration took, base::TimePoint now);
 
-  /** Records that a request was given up after @p took; it would have taken longer. */
-  void RecordGivenUp(wire::RequestOrigin origin, base::Duration took, base::TimePoint now);
+  /** Records that a request was cancelled after @p took; it would have taken longer. */
+  void RecordCancelled(wire::RequestOrigin origin, base::Duration took, base::TimePoint now);
 
   /**
-   * @return Slowdown in powers of two, 0 to kMostSteps. Falls by one for each second without a
-   *     record, so that a slow upstream that gets no work is tried again.
+   * @return Slowdown in powers of two, 0 to kMaxSteps. Decreases by one for each second without a
+   *     record, so that a slow upstream without requests is tried again.
    */
   std::uint32_t Steps(base::TimePoint now) const;
 
-  static constexpr std::uint32_t kMostSteps = 3;
+  static constexpr std::uint32_t kMaxSteps = 3;
 
  private:
   struct Track {
     double recent_ms = 0;
-    double usual_ms = 0;  // Follows `recent_ms` down soon, and up slowly.
+    double baseline_ms =
+        0;  // Usual service time; follows `recent_ms` quickly downwards and slowly upwards.
     std::uint32_t records = 0;
     base::TimePoint recorded_at{};
   };
--- a/libraries/request_path/upstream_connection.cc
+++ b/libraries/request_path/upstream_connection.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr unsigned kMisdirected = 421;
-// An idle connection is given up this long before the upstream's own timeout.
+// An idle connection is not reused within this time before the upstream's own idle timeout.
 constexpr std::chrono::milliseconds kIdleMargin{1000};
 constexpr std::size_t kAnswerHeaderBytes = 32 * 1024;
 
@@ -86,12 +86,12 @@
   output_ = http_stream::SerializeRequest(message_);
   message_ = {};
   is_writing_ = true;
-  is_written_ = true;  // From here on the upstream may have the request.
+  is_written_ = true;  // From here on the upstream may receive the request.
   asio::async_write(socket_, asio::buffer(output_),
                     [self = shared_from_this()](const asio::error_code& error, std::size_t) {
                       self->is_writing_ = false;
                       if (!self->is_closed_ && error) {
-                        // The answer may have come before; reading tells.
+                        // The answer may have arrived before the error; the read handler decides.
                         self->must_close_ = true;
                       }
                     });
@@ -121,20 +121,20 @@
   std::string_view bytes(read_buffer_.data(), count);
   while (!bytes.empty() && !is_closed_) {
     if (!handler_) {
-      // Bytes that no request waits for.
-      ++pool_->counters_.foreign_answers;
+      // Unsolicited data: no request is in progress.
+      ++pool_->counters_.mismatched_answers;
       Close();
       return;
     }
     const std::size_t used = parser_.Feed(bytes);
     bytes.remove_prefix(used);
     if (parser_.has_failed()) {
-      ++pool_->counters_.garbled;
+      ++pool_->counters_.invalid_answers;
       Fail(wire::Outcome::kUnknown, Refusal::kUpstreamGarbled);
       return;
     }
     if (parser_.state() == http_stream::ParseState::kComplete) {
-      // More than one answer came; the stream is not trusted with another request.
+      // Data after the answer: the connection is not reused.
       must_close_ = must_close_ || !bytes.empty();
       HandleAnswer();
     }
@@ -163,20 +163,20 @@
 void UpstreamConnection::HandleAnswer() {
   http_stream::ResponseMessage message = parser_.TakeResponse();
   must_close_ = must_close_ || !message.keeps_alive;
-  if (IsForeign(message)) {
-    // A late answer to an earlier request; the one awaited may still follow it.
-    ++pool_->counters_.foreign_answers;
+  if (IsForOtherRequest(message)) {
+    // A late answer to an earlier request; the expected answer may still follow.
+    ++pool_->counters_.mismatched_answers;
     must_close_ = true;
     return;
   }
-  // An answer that came before the whole request was written leaves a stream in which the upstream
-  // still expects the rest of the body.
+  // The answer arrived before the request was fully written, so the upstream still expects the rest
+  // of the body.
   must_close_ = must_close_ || is_writing_;
-  NoteIdleTimeout(message.fields);
+  UpdateIdleLimit(message.fields);
   Deliver(std::move(message));
 }
 
-bool UpstreamConnection::IsForeign(const http_stream::ResponseMessage& message) const {
+bool UpstreamConnection::IsForOtherRequest(const http_stream::ResponseMessage& message) const {
   const std::string* id = http_stream::FindField(message.fields, pool_->names_.request_id);
   return id != nullptr && *id != request_id_;
 }
@@ -194,7 +194,7 @@
   const bool is_sealed = check_ == AnswerCheck::kNone || names.seal.empty() ||
                          http_stream::FindField(message.fields, names.seal) != nullptr;
   if (message.status < kFirstFailure && !is_not_run && !is_sealed) {
-    ++pool_->counters_.garbled;
+    ++pool_->counters_.invalid_answers;
     Fail(wire::Outcome::kUnknown, Refusal::kUpstreamGarbled);
     return;
   }
@@ -207,16 +207,16 @@
   Finish(std::move(response));
 }
 
-void UpstreamConnection::NoteIdleTimeout(const http_stream::Fields& fields) {
+void UpstreamConnection::UpdateIdleLimit(const http_stream::Fields& fields) {
   const std::string* value = http_stream::FindField(fields, "keep-alive");
   if (value == nullptr) {
     return;
   }
   constexpr std::string_view kTimeout = "timeout=";
-  const auto place = value->find(kTimeout);
+  const auto position = value->find(kTimeout);
   unsigned seconds = 0;
-  if (place != std::string::npos) {
-    const char* begin = value->data() + place + kTimeout.size();
+  if (position != std::string::npos) {
+    const char* begin = value->data() + position + kTimeout.size();
     const auto parsed = std::from_chars(begin, value->data() + value->size(), seconds);
     if (parsed.ec == std::errc()) {
       idle_limit_ = std::max<base::Duration>(base::Duration::zero(),
--- a/libraries/request_path/upstream_connection.h
+++ b/libraries/request_path/upstream_connection.h
@@ -11,26 +11,30 @@
 
 namespace borageloft::request_path {
 
-/** Whether a success must bear the upstream's seal. */
+/** Whether a successful answer needs the upstream's seal header. */
 enum class AnswerCheck {
   kSeal,
-  kNone,  // For answers about the upstream itself.
+  kNone,  // For health answers.
 };
 
-/** One connection to the local upstream. */
+/** One HTTP connection to the local upstream, which carries one request at a time. */
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
  public:
   explicit UpstreamConnection(UpstreamPool& pool);
 
-  /** Sends a request; the connection must be new or idle. */
+  /**
+   * Sends a request. The connection must be new or idle.
+   * @param deadline Sent to the upstream as the time left; not enforced on the answer.
+   * @param handler Called once, unless the connection is closed first.
+   */
   void Run(wire::Request request, base::TimePoint deadline, ResponseHandler handler,
            AnswerCheck check = AnswerCheck::kSeal);
 
-  /** Closes the connection without an answer to a request in progress. */
+  /** Closes the connection; the handler of a request in progress is not called. */
   void Close();
 
   bool is_open() const { return !is_closed_; }
-  /** @return When the connection must no longer be used. */
+  /** @return Time from which an idle connection must not be reused. */
   base::TimePoint usable_until() const { return usable_until_; }
 
  private:
@@ -43,8 +47,8 @@
   void Deliver(http_stream::ResponseMessage message);
   void Fail(wire::Outcome outcome, Refusal refusal);
   void Finish(wire::Response response);
-  void NoteIdleTimeout(const http_stream::Fields& fields);
-  bool IsForeign(const http_stream::ResponseMessage& message) const;
+  void UpdateIdleLimit(const http_stream::Fields& fields);
+  bool IsForOtherRequest(const http_stream::ResponseMessage& message) const;
 
   UpstreamPool* pool_;
   asio::ip::tcp::socket socket_;
@@ -64,7 +68,7 @@
   bool is_writing_ = false;
   bool is_written_ = false;
   bool is_closed_ = false;
-  bool must_close_ = false;  // The stream cannot carry another request.
+  bool must_close_ = false;  // The connection cannot carry another request.
 };
 
 }  // namespace borageloft::request_path
--- a/libraries/request_path/upstream_pool.cc
+++ b/libraries/request_path/upstream_pool.cc
@@ -33,7 +33,7 @@
     ++counters_.reused;
   }
   const std::weak_ptr<UpstreamConnection> weak = connection;
-  // A connection that has ended this request may carry another one by then.
+  // By the time of a cancel, the request may have ended and its connection may carry another one.
   auto is_ended = std::make_shared<bool>(false);
   connection->Run(std::move(request), deadline,
                   [is_ended, handler = std::move(handler)](wire::Response response) {
--- a/libraries/request_path/upstream_pool.h
+++ b/libraries/request_path/upstream_pool.h
@@ -17,14 +17,14 @@
 
 class UpstreamConnection;
 
-/** Settings of the connections to the local upstream. */
+/** Settings of the connection pool. */
 struct UpstreamPoolOptions {
   settings::Endpoint endpoint;
-  /** Largest answer, in bytes. */
+  /** Maximum size of an answer body, in bytes. */
   std::size_t body_bytes = std::size_t{8} << 20U;
-  /** A connection idle for this long is not used again unless the upstream names its timeout. */
+  /** Idle time after which a connection is not reused, unless the upstream states its timeout. */
   base::Duration idle_limit = std::chrono::seconds(4);
-  /** Time to establish a connection to a process on the same host. */
+  /** Time limit for connecting to the upstream, which is on the same host. */
   base::Duration connect_timeout = std::chrono::milliseconds(1000);
 };
 
@@ -33,20 +33,20 @@
   std::uint64_t connections_opened = 0;
   std::uint64_t connect_failures = 0;
   std::uint64_t reused = 0;
-  std::uint64_t foreign_answers = 0;  // Answers with another request's id.
-  std::uint64_t garbled = 0;
+  std::uint64_t mismatched_answers = 0;  // Answers with another request id, and unsolicited data.
+  std::uint64_t invalid_answers = 0;     // Malformed answers, and successes without a seal header.
 };
 
 /**
- * Kept HTTP connections to the upstream on this host, one request at a time on each. An answer is
- * passed on only if it is whole and bears the id of the request. Runs on one event loop; not
- * thread-safe.
+ * Pool of persistent HTTP connections to the upstream on this host, with one request at a time on
+ * each. An answer is passed on only if it is complete and carries no id of another request. Runs on
+ * one event loop; not thread-safe.
  */
 class UpstreamPool {
  public:
   /**
-   * @param on_unreachable Called when no connection could be opened.
-   * @param on_other_instance Called when another instance than the expected one answered.
+   * @param on_unreachable Called when connecting fails with an error, but not when it times out.
+   * @param on_other_instance Called when an instance other than the expected one answered.
    */
   UpstreamPool(asio::io_context& context, UpstreamPoolOptions options, const HeaderNames& names,
                std::function<void()> on_unreachable, std::function<void()> on_other_instance);
@@ -57,14 +57,16 @@
 
   /**
    * Sends a request to the upstream.
-   * @param deadline When the caller stops waiting; the upstream is told the time that is left.
-   * @return Gives up the request by closing its connection.
+   * @param deadline When the caller stops waiting; the time left is sent to the upstream.
+   * @return Hook that cancels the request by closing its connection, without a call of @p handler.
    */
   CancelHook Run(wire::Request request, base::TimePoint deadline, ResponseHandler handler);
 
   /**
-   * Asks the upstream how it is.
-   * @param handler Receives the answer, with status 0 if there was none.
+   * Sends a health check to the upstream.
+   * @param deadline Sent to the upstream as the time left; not enforced on the answer.
+   * @param handler Receives the answer, with status 0 if the connection failed or ended without
+   * one.
    */
   void AskHealth(const std::string& path, base::TimePoint deadline,
                  std::function<void(const http_stream::ResponseMessage& answer)> handler);
@@ -87,7 +89,7 @@
   HeaderNames names_;
   std::function<void()> on_unreachable_;
   std::function<void()> on_other_instance_;
-  std::vector<std::shared_ptr<UpstreamConnection>> idle_;  // The last one was used last.
+  std::vector<std::shared_ptr<UpstreamConnection>> idle_;  // The most recently used one is last.
   std::set<std::shared_ptr<UpstreamConnection>> all_;
   UpstreamPoolCounters counters_;
 };
--- a/tests/request_path/entry_test.cc
+++ b/tests/request_path/entry_test.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** An entry with two instances whose gates the test plays, on a manual clock. */
+/** An entry with two instances, whose gates the test simulates, on a manual clock. */
 class EntryTest : public ::testing::Test {
  protected:
   struct Sent {
@@ -135,15 +135,15 @@
   std::vector<std::string> lines_;
 };
 
-// Guards against "no such route" from a node that knows no routes yet.
+// Guards against 404 from a node that has not received its routes yet; it must answer 503.
 TEST_F(EntryTest, WithoutADeclarationItIsUnavailable) {
   EXPECT_EQ((*Ask())->status, 503U);
   Declare(declaration::Repetition::kIdempotent);
   EXPECT_EQ((*Ask({}, "r", "/q/1"))->status, 404U);
 }
 
-// Guards against a request that is taken shortly before the process ends and is cut off by it.
-TEST_F(EntryTest, TakesNothingMoreShortlyBeforeTheEnd) {
+// Guards against accepting a request shortly before the process exits and interrupts it.
+TEST_F(EntryTest, RefusesRequestsShortlyBeforeTheNodeStops) {
   Declare(declaration::Repetition::kIdempotent);
   const auto taken = Ask();
   entry_->StopTaking();
@@ -156,9 +156,9 @@
   EXPECT_EQ((*taken)->status, 200U);
 }
 
-// Guards against a second run of a request that may run once, and against a refusal that promises
-// "not run" of a request that may have run.
-TEST_F(EntryTest, AnAtMostOnceRequestIsNotRepeatedUnlessItHasNotRun) {
+// Guards against a second run of an at-most-once request, and against reporting a request that may
+// have run as not run.
+TEST_F(EntryTest, AnAtMostOnceRequestIsRetriedOnlyIfItHasNotRun) {
   Declare(declaration::Repetition::kAtMostOnce);
   const auto lost = Ask();
   End(0, wire::Outcome::kUnknown, 0, Refusal::kConnectionLost);
@@ -175,8 +175,8 @@
   EXPECT_NE(http_stream::FindField((*refused)->fields, "Retry-After"), nullptr);
 }
 
-// Guards against repeats at every hop above a failure: each would make all calls again.
-TEST_F(EntryTest, AFailureOfACallIsNotRepeatedAboveIt) {
+// Guards against retries at every hop above a failure: each would make all calls again.
+TEST_F(EntryTest, AFailedCallIsNotRetriedAboveIt) {
   Declare(declaration::Repetition::kIdempotent);
   for (int i = 0; i < 100; ++i) {
     Ask();
@@ -194,8 +194,8 @@
   EXPECT_EQ(failed_parents_, std::vector<std::string>{"parent"});
 }
 
-// Guards against callers that are told to come back when the answer can only be late.
-TEST_F(EntryTest, RefusedCallersComeBackWithinTheTargetLatency) {
+// Guards against a Retry-After after which the answer cannot meet the target latency.
+TEST_F(EntryTest, RetryAfterFitsTheTargetLatency) {
   Declare(declaration::Repetition::kIdempotent);  // Target latency 300 ms.
   const auto retry_after = [&](const std::string& id) {
     const auto answer = Ask({{"Borageloft-Timeout-Ms", "5000"}}, id);
@@ -213,11 +213,11 @@
   }
   EXPECT_GE(least, 0.1);
   EXPECT_LE(most, 0.3);
-  EXPECT_GE(most - least, 0.1);  // Spread, so that they do not come at once.
+  EXPECT_GE(most - least, 0.1);  // Spread, so that callers do not retry all at once.
 }
 
-// Guards against an idempotent request that gives up although another instance works.
-TEST_F(EntryTest, AnIdempotentRequestIsRepeatedAtAnotherInstance) {
+// Guards against failing an idempotent request although another instance works.
+TEST_F(EntryTest, AnIdempotentRequestIsRetriedAtAnotherInstance) {
   Declare(declaration::Repetition::kIdempotent);
   for (int i = 0; i < 100; ++i) {
     Ask();  // Earns budget.
@@ -232,9 +232,9 @@
   EXPECT_EQ((*answer)->status, 200U);
 }
 
-// Guards against a request that goes to more upstreams than its route allows while they reject it,
-// and against one that gives up although the budget allows to ask the same ones again.
-TEST_F(EntryTest, ARejectedRequestAsksTheSameUpstreamsAgain) {
+// Guards against a rejected request that goes to more upstreams than its route allows, and against
+// one that fails although the budget allows retries at the same upstreams.
+TEST_F(EntryTest, ARejectedRequestIsRetriedAtTheSameUpstreams) {
   Declare(declaration::Repetition::kAtMostOnce);
   for (int i = 0; i < 300; ++i) {
     Ask();
@@ -256,8 +256,8 @@
   EXPECT_EQ((*answer)->status, 200U);
 }
 
-// Guards against repeats below a repeat, which multiply along the call path.
-TEST_F(EntryTest, ACallOfARepeatedRunIsNotRepeated) {
+// Guards against retries below a retry, which multiply along the call path.
+TEST_F(EntryTest, ACallOfARetriedRunIsNotRetried) {
   Declare(declaration::Repetition::kIdempotent);
   for (int i = 0; i < 100; ++i) {
     Ask();
@@ -276,7 +276,8 @@
   EXPECT_TRUE(*answer);
 }
 
-// Guards against calls that keep coming to a zone from which each of the calls below them crosses.
+// Guards against sending calls to a zone from which each of the calls below them leaves the zone:
+// the other nodes avoid this by the reported number of remote calls.
 TEST_F(EntryTest, CountsTheCallsBelowACallThatLeaveTheZone) {
   Declare(declaration::Repetition::kIdempotent);
   parent_.origin = wire::RequestOrigin::kUpstream;
@@ -286,10 +287,11 @@
   EXPECT_EQ(entry_->RemoteCalls(50), 0U);
   entry_->chooser().Update({});
   EXPECT_EQ(entry_->RemoteCalls(50), 4U);
-  EXPECT_EQ(entry_->RemoteCalls(10), 0U);  // Too few to tell.
+  EXPECT_EQ(entry_->RemoteCalls(10), 0U);  // Too few runs for a mean.
 }
 
-// Guards against a caller that waits beyond the route's timeout, and against work that goes on.
+// Guards against a caller that waits beyond the route's timeout, and against work that continues
+// after it.
 TEST_F(EntryTest, AnswersAtTheTimeoutAndCancels) {
   Declare(declaration::Repetition::kAtMostOnce);
   const auto started = Ask({{"Borageloft-Timeout-Ms", "2000"}});
@@ -307,7 +309,7 @@
   EXPECT_EQ((*waiting)->status, 503U);
 }
 
-// Guards against work for a caller that has left.
+// Guards against work for a caller that has disconnected.
 TEST_F(EntryTest, AnAbandonedRequestIsCancelledAndNotAnswered) {
   Declare(declaration::Repetition::kIdempotent);
   const auto answer = Ask();
@@ -319,8 +321,8 @@
   EXPECT_FALSE(*answer);
 }
 
-// Guards against fields of a caller that the system itself states.
-TEST_F(EntryTest, StatesItsOwnFields) {
+// Guards against passing on a caller's values of header fields that only the system sets.
+TEST_F(EntryTest, SetsItsOwnHeaderFields) {
   Declare(declaration::Repetition::kIdempotent);
   Ask({{"Borageloft-Caller-Service", "forged"},
        {"Borageloft-Expected-Instance", "forged"},
@@ -333,7 +335,8 @@
   EXPECT_EQ(*http_stream::FindField(fields, "X-Other"), "kept");
 }
 
-// Guards against work begun for the least important while a deep service sheds it anyway.
+// Guards against starting work for the least important requests that a service deeper in the call
+// path would shed anyway.
 TEST_F(EntryTest, ShedsRootsByTheReportedLevelButNotCalls) {
   Declare(declaration::Repetition::kIdempotent);
   Ask();
@@ -348,8 +351,8 @@
   EXPECT_FALSE(*Ask({}, "r-3"));
 }
 
-// Guards against a refusal or a repeated send that leaves no line with the request's id.
-TEST_F(EntryTest, EachRefusalAndRepeatLeavesALine) {
+// Guards against a refusal or a retry without a log line that has the request's id.
+TEST_F(EntryTest, LogsEachRefusalAndRetry) {
   Declare(declaration::Repetition::kAtMostOnce);
   lines_.clear();
   Ask({}, "id-a");
@@ -366,8 +369,9 @@
   EXPECT_NE(all.find("\"id-b\""), std::string::npos);
 }
 
-// Guards against a burst of refusals that floods the log, and against drops that are not counted.
-TEST_F(EntryTest, TheLogIsBoundedAndCountsWhatItDrops) {
+// Guards against a burst of refusals that floods the log, and against dropped lines that are not
+// counted.
+TEST_F(EntryTest, LimitsTheLogAndCountsDroppedLines) {
   lines_.clear();
   for (int i = 0; i < 1000; ++i) {
     Ask({}, "id-" + std::to_string(i));
--- a/tests/request_path/instance_chooser_test.cc
+++ b/tests/request_path/instance_chooser_test.cc
@@ -24,7 +24,7 @@
   std::string Choose(const std::vector<std::string>& tried = {},
                      wire::RequestOrigin origin = wire::RequestOrigin::kCaller) {
     const directory::InstanceRecord* record =
-        chooser_.Choose("parts", origin, tried, TriedUse::kLeaveOut, now_, random_);
+        chooser_.Choose("parts", origin, tried, CandidateFilter::kExcludeTried, now_, random_);
     return record == nullptr ? "" : record->node;
   }
   std::map<std::string, int> ChooseMany(int count) {
@@ -34,13 +34,13 @@
     }
     return counts;
   }
-  void End(const std::string& node, AttemptEnd end, milliseconds took,
+  void End(const std::string& node, AttemptOutcome outcome, milliseconds took,
            std::uint32_t in_flight = 0) {
     wire::LoadReport load;
     load.in_flight = in_flight;
     load.limit = 10;
     chooser_.RecordStart("parts", node);
-    chooser_.RecordEnd("parts", node, "i-" + node, end, took, &load, now_);
+    chooser_.RecordEnd("parts", node, "i-" + node, outcome, took, &load, now_);
   }
 
   base::TimePoint now_{std::chrono::seconds(100)};
@@ -49,19 +49,19 @@
   InstanceChooser chooser_{"here"};
 };
 
-// Guards against bytes between zones while the own zone has room.
-TEST_F(InstanceChooserTest, StaysInItsZoneWhileItHasRoom) {
+// Guards against traffic between zones while the node's own zone has free capacity.
+TEST_F(InstanceChooserTest, StaysInItsZoneWhileItHasCapacity) {
   Add("near", "here");
   Add("far", "there");
-  End("near", AttemptEnd::kServed, milliseconds(80));
-  End("far", AttemptEnd::kServed, milliseconds(10));
+  End("near", AttemptOutcome::kServed, milliseconds(80));
+  End("far", AttemptOutcome::kServed, milliseconds(10));
   EXPECT_EQ(ChooseMany(50)["near"], 50);
-  End("near", AttemptEnd::kServed, milliseconds(80), 10);
+  End("near", AttemptOutcome::kServed, milliseconds(80), 10);
   EXPECT_EQ(ChooseMany(50)["far"], 50);
 }
 
-// Guards against a call that stays in its zone where each of the calls below it has to leave it.
-TEST_F(InstanceChooserTest, ACallCrossesOnceRatherThanItsCallsEach) {
+// Guards against keeping a call in its zone when each of the calls below it has to leave the zone.
+TEST_F(InstanceChooserTest, ACallCrossesZonesOnceInsteadOfEachOfItsCalls) {
   Add("near", "here");
   Add("far", "there");
   records_["near"].remote_calls = 4;
@@ -78,14 +78,14 @@
   EXPECT_FALSE(chooser_.HasInstanceInZone("parts"));
 }
 
-// Guards against an instance that fails fast and looks quick.
-TEST_F(InstanceChooserTest, LeavesAFailingInstance) {
+// Guards against preferring an instance for its low latency when it fails fast.
+TEST_F(InstanceChooserTest, AvoidsAFailingInstance) {
   Add("a", "here");
   Add("b", "here");
-  End("a", AttemptEnd::kServed, milliseconds(50));
-  End("b", AttemptEnd::kServed, milliseconds(50));
+  End("a", AttemptOutcome::kServed, milliseconds(50));
+  End("b", AttemptOutcome::kServed, milliseconds(50));
   for (int i = 0; i < 8; ++i) {
-    End("a", AttemptEnd::kFailed, milliseconds(1));
+    End("a", AttemptOutcome::kFailed, milliseconds(1));
   }
   EXPECT_EQ(ChooseMany(50)["b"], 50);
   // It is tried again later.
@@ -93,11 +93,11 @@
   EXPECT_GT(ChooseMany(200)["a"], 0);
 }
 
-// Guards against a request that is sent to an instance that is gone, or twice to the same one.
+// Guards against sending a request to an instance that is gone, or twice to the same one.
 TEST_F(InstanceChooserTest, AvoidsGoneAndTriedInstances) {
   Add("a", "here");
   Add("b", "here");
-  End("a", AttemptEnd::kGone, milliseconds(1));
+  End("a", AttemptOutcome::kUnavailable, milliseconds(1));
   EXPECT_EQ(ChooseMany(50)["b"], 50);
   EXPECT_EQ(Choose({"b"}), "a");
   EXPECT_EQ(Choose({"a", "b"}), "");
@@ -107,7 +107,7 @@
   EXPECT_EQ(ChooseMany(50)["a"], 50);
 }
 
-// Guards against requests for a node whose connection has fallen silent.
+// Guards against sending requests to a node whose connection is silent.
 TEST_F(InstanceChooserTest, AvoidsSilentNodes) {
   Add("a", "here");
   Add("b", "there");
@@ -116,33 +116,33 @@
   EXPECT_EQ(Choose({"b"}), "a");
 }
 
-// Guards against an instance that never gets work because it was slow once.
+// Guards against an instance that gets no more requests because it was slow once.
 TEST_F(InstanceChooserTest, TriesASlowInstanceAgain) {
   Add("a", "here");
   Add("b", "here");
-  End("a", AttemptEnd::kServed, milliseconds(900));
-  End("b", AttemptEnd::kServed, milliseconds(50));
+  End("a", AttemptOutcome::kServed, milliseconds(900));
+  End("b", AttemptOutcome::kServed, milliseconds(50));
   EXPECT_EQ(ChooseMany(50)["b"], 50);
   now_ += std::chrono::seconds(20);
   EXPECT_GT(ChooseMany(200)["a"], 0);
 }
 
-// Guards against state of an ended instance that the next one at the node inherits.
-TEST_F(InstanceChooserTest, AnotherInstanceStartsAfresh) {
+// Guards against applying the statistics of an ended instance to the next one on its node.
+TEST_F(InstanceChooserTest, ANewInstanceStartsWithoutStatistics) {
   Add("a", "here");
   Add("b", "here");
   for (int i = 0; i < 20; ++i) {
-    End("a", AttemptEnd::kFailed, milliseconds(1));
+    End("a", AttemptOutcome::kFailed, milliseconds(1));
   }
   records_["a"].instance = "i-new";
   chooser_.Update(records_);
   EXPECT_GT(ChooseMany(100)["a"], 0);
-  EXPECT_EQ(chooser_.Choose("other", wire::RequestOrigin::kCaller, {}, TriedUse::kLeaveOut, now_,
-                            random_),
+  EXPECT_EQ(chooser_.Choose("other", wire::RequestOrigin::kCaller, {},
+                            CandidateFilter::kExcludeTried, now_, random_),
             nullptr);
 }
 
-// Guards against a slow instance that every node keeps using until it has found out by itself.
+// Guards against a slow instance that every node uses until it has measured the slowdown itself.
 TEST_F(InstanceChooserTest, AvoidsAnInstanceWhoseGateReportsASlowdown) {
   Add("near", "here");
   Add("far", "there");
@@ -158,7 +158,7 @@
   EXPECT_EQ(ChooseMany(50)["far"], 50);
 }
 
-// Guards against repeats that make calls again and are counted as if they made none.
+// Guards against retries that make calls again but count against the budget as if they made none.
 TEST_F(InstanceChooserTest, AServiceIsALeafOnlyIfNoInstanceMakesCalls) {
   EXPECT_FALSE(chooser_.IsLeaf("parts"));
   Add("a", "here");
--- a/tests/request_path/local_gate_test.cc
+++ b/tests/request_path/local_gate_test.cc
@@ -21,7 +21,7 @@
 
   void SetUp() override {
     base::ReplaceLogSink([](std::string_view) {});
-    Beat(1);
+    SendHeartbeat(1);
     LocalGateOptions options;
     options.slot_share = 1;
     gate_ = std::make_unique<LocalGate>(
@@ -37,12 +37,12 @@
     base::ReplaceLogSink({});
   }
 
-  void Beat(std::uint64_t sequence,
-            directory::InstanceState state = directory::InstanceState::kServing) {
+  void SendHeartbeat(std::uint64_t sequence,
+                     directory::InstanceState state = directory::InstanceState::kServing) {
     instance_.HandleHeartbeat({"i-1", "parts", 10, sequence, state, 2, {}}, now_);
   }
 
-  /** Submits a request and keeps its end. */
+  /** Submits a request and stores its response. */
   std::pair<GateTicket, std::shared_ptr<std::optional<wire::Response>>> Submit(
       const std::string& id, std::uint32_t priority = 0, milliseconds wait = milliseconds(100)) {
     wire::Request request;
@@ -81,8 +81,8 @@
   std::unique_ptr<LocalGate> gate_;
 };
 
-// Guards against roots of which each loses some calls, where gates serve whichever waits longest
-// while the entries still admit more than there is room for.
+// Guards against many roots that each lose some of their calls: this happens when the gates serve
+// the longest waiting call first while the entries still admit more roots than there is capacity.
 TEST_F(LocalGateTest, RootsWithinTheLevelGoFirst) {
   const auto submit = [&](const std::string& id, std::uint32_t position) {
     wire::Request request;
@@ -95,12 +95,12 @@
     gate_->Submit(std::move(request), [](const wire::Response&) {});
   };
   constexpr std::uint32_t kRequests = 20;
-  Advance(milliseconds(60));  // The level follows what comes in whole intervals.
+  Advance(milliseconds(60));  // The level is updated after complete intervals only.
   for (std::uint32_t i = 0; i < kRequests; ++i) {
     submit("w" + std::to_string(i), i * (admission::ShedKey::kPositions / kRequests));
     Advance(milliseconds(20));
   }
-  ASSERT_EQ(gate_->Load().level_rank, 3U);  // Closed within this priority.
+  ASSERT_EQ(gate_->Load().level_rank, 3U);  // Partly closed for this priority.
   ASSERT_LT(gate_->Load().level_share, admission::ShedKey::kPositions);
   submit("beyond", admission::ShedKey::kPositions - 1);
   submit("within", 0);
@@ -117,11 +117,11 @@
   EXPECT_LT(within, beyond);
 }
 
-// Guards against roots that wait until their work no longer fits into the time that they have.
+// Guards against roots that wait until the time left is too short for their work.
 TEST_F(LocalGateTest, ARootWaitsOnlyWhileItsWorkFits) {
   Submit("a");
   now_ += milliseconds(800);
-  Finish(0);  // The work takes 800 ms of the second that a request has.
+  Finish(0);  // The service time is 800 ms; a request has one second.
   Submit("b");
   Submit("c");
   const auto waiting = Submit("d", 0, milliseconds(700)).second;
@@ -130,8 +130,8 @@
   EXPECT_EQ((*waiting)->outcome, wire::Outcome::kNotRun);
 }
 
-// Guards against repeats at every hop above a call that failed.
-TEST_F(LocalGateTest, TellsThatAFailureCameFromACall) {
+// Guards against retries at every hop above a failed call.
+TEST_F(LocalGateTest, ReportsAFailureCausedByACall) {
   const auto first = Submit("a").second;
   const auto second = Submit("b").second;
   gate_->NoteFailedCall("b");
@@ -147,8 +147,9 @@
   EXPECT_EQ((*second)->status, 500U);
 }
 
-// Guards against work that reaches a node which is about to end, and against a cut of work begun.
-TEST_F(LocalGateTest, StopsTakingAndFinishesWhatRuns) {
+// Guards against accepting requests on a node that is about to stop, and against interrupting those
+// that run.
+TEST_F(LocalGateTest, RefusesNewRequestsAndFinishesRunningOnes) {
   const auto first = Submit("a").second;
   gate_->StopTaking();
   const auto second = Submit("b").second;
@@ -161,9 +162,9 @@
   EXPECT_EQ((*first)->outcome, wire::Outcome::kRan);
 }
 
-// Guards against more requests at the upstream than it has slots, and against an order that
-// forgets importance.
-TEST_F(LocalGateTest, StartsNoMoreThanTheSlotsAndTheImportantFirst) {
+// Guards against more running requests than the upstream has slots, and against a queue order that
+// ignores importance.
+TEST_F(LocalGateTest, StartsAtMostTheSlotsInOrderOfPriority) {
   Submit("a");
   Submit("b");
   Submit("low", 2);
@@ -177,8 +178,8 @@
   EXPECT_EQ(running_[3].request.context.root, "low");
 }
 
-// Guards against requests that grow old in the queue: the refusal comes at the stated wait.
-TEST_F(LocalGateTest, RefusesAfterTheStatedWait) {
+// Guards against requests that stay in the queue beyond their wait limit.
+TEST_F(LocalGateTest, RefusesAfterTheWaitLimit) {
   Submit("a");
   Submit("b");
   const auto waiting = Submit("c", 0, milliseconds(40));
@@ -192,8 +193,8 @@
   EXPECT_EQ(running_.size(), 2U) << "a refused request was started";
 }
 
-// Guards against a cancelled request that is said not to have run although it was started.
-TEST_F(LocalGateTest, CancelTellsWhetherItWasStarted) {
+// Guards against reporting a cancelled request as not run although it was started.
+TEST_F(LocalGateTest, CancelReportsWhetherItWasStarted) {
   const auto started = Submit("a");
   Submit("b");
   const auto waiting = Submit("c");
@@ -205,11 +206,11 @@
   EXPECT_EQ((*started.second)->outcome, wire::Outcome::kUnknown);
   EXPECT_TRUE(running_[0].is_cancelled);
   EXPECT_EQ(gate_->running(), 1U);
-  Finish(0);  // An end that comes after the cancel changes nothing.
+  Finish(0);  // A response after the cancel has no effect.
   EXPECT_EQ(gate_->running(), 1U);
 }
 
-// Guards against requests that reach another instance than the one they were sent to.
+// Guards against running a request at another instance than the one that it was sent to.
 TEST_F(LocalGateTest, RefusesForAnotherInstance) {
   Submit("a");
   Submit("b");
@@ -224,9 +225,9 @@
   EXPECT_EQ((*waiting.second)->reason, TextOf(Refusal::kInstanceGone));
 }
 
-// Guards against new work for an instance whose leave was acknowledged.
+// Guards against new requests to an instance whose leave was acknowledged.
 TEST_F(LocalGateTest, StopsNewWorkToALeavingInstance) {
-  Beat(2, directory::InstanceState::kLeaving);
+  SendHeartbeat(2, directory::InstanceState::kLeaving);
   EXPECT_FALSE(*Submit("a").second);
   Advance(milliseconds(700));
   const auto late = Submit("b");
@@ -237,7 +238,7 @@
   EXPECT_TRUE(gate_->Load().is_leaving);
 }
 
-// Guards against calls that lose the importance of the request that they are part of.
+// Guards against calls that do not inherit the priority of their parent request.
 TEST_F(LocalGateTest, FindsTheRunningParentOfACall) {
   Submit("root", 2);
   ASSERT_NE(gate_->FindRunning("root"), nullptr);
@@ -247,8 +248,8 @@
   EXPECT_EQ(gate_->FindRunning("root"), nullptr);
 }
 
-// Guards against a gate that lets everything in while its queue stands.
-TEST_F(LocalGateTest, LowersItsAdmissionLevelUnderALastingQueue) {
+// Guards against a gate that keeps its admission level open during a persistent queue.
+TEST_F(LocalGateTest, LowersItsAdmissionLevelDuringAPersistentQueue) {
   for (int round = 0; round < 200; ++round) {
     Submit("low" + std::to_string(round), 2);
     Submit("high" + std::to_string(round), 0);
@@ -267,8 +268,8 @@
   EXPECT_GT(level.ShareOf(1), level.ShareOf(3));
 }
 
-// Guards against a level below that does not reach the entries above.
-TEST_F(LocalGateTest, ReportsTheWorstLevelBelow) {
+// Guards against a level of a called service that is not reported to the entries of its callers.
+TEST_F(LocalGateTest, ReportsTheDownstreamLevel) {
   gate_->set_downstream_level([] { return admission::AdmissionLevel(3, 100); });
   EXPECT_EQ(gate_->Load().level_rank, 3U);
   EXPECT_EQ(gate_->Load().level_share, 100U);
--- a/tests/request_path/slowness_tracker_test.cc
+++ b/tests/request_path/slowness_tracker_test.cc
@@ -22,8 +22,8 @@
   SlownessTracker tracker_;
 };
 
-// Guards against a slow upstream that every node has to find out for itself.
-TEST_F(SlownessTrackerTest, TellsASlowdownWithinTwentyRequests) {
+// Guards against a slowdown that the gate reports too late, so that every node has to measure it.
+TEST_F(SlownessTrackerTest, ReportsASlowdownWithinTwentyRequests) {
   EXPECT_EQ(tracker_.Steps(now_), 0U);
   End(100, milliseconds(100));
   EXPECT_EQ(tracker_.Steps(now_), 0U);
@@ -35,19 +35,19 @@
   EXPECT_EQ(tracker_.Steps(now_), 0U);
 }
 
-// Guards against a slowdown so deep that every request is given up, and none is seen to end.
-TEST_F(SlownessTrackerTest, CountsRequestsThatWereGivenUp) {
+// Guards against missing a slowdown so severe that every request is cancelled and none ends.
+TEST_F(SlownessTrackerTest, CountsCancelledRequests) {
   End(100, milliseconds(100));
   for (int i = 0; i < 20; ++i) {
     now_ += milliseconds(10);
-    tracker_.RecordGivenUp(RequestOrigin::kCaller, milliseconds(1000), now_);
-    tracker_.RecordGivenUp(RequestOrigin::kCaller, milliseconds(5), now_);
+    tracker_.RecordCancelled(RequestOrigin::kCaller, milliseconds(1000), now_);
+    tracker_.RecordCancelled(RequestOrigin::kCaller, milliseconds(5), now_);
   }
   EXPECT_EQ(tracker_.Steps(now_), 3U);
 }
 
-// Guards against an upstream that counts as slow for ever because it gets no work.
-TEST_F(SlownessTrackerTest, ForgetsWhileNothingComes) {
+// Guards against an upstream that stays marked as slow because it gets no requests.
+TEST_F(SlownessTrackerTest, DecaysWithoutRecords) {
   End(100, milliseconds(100));
   End(30, milliseconds(1600));
   now_ += seconds(2);
@@ -58,8 +58,8 @@
   EXPECT_EQ(tracker_.Steps(now_), 0U);
 }
 
-// Guards against a change of the mix that looks like a slowdown.
-TEST_F(SlownessTrackerTest, TellsCallersAndCallsApart) {
+// Guards against reporting a change of the request mix as a slowdown.
+TEST_F(SlownessTrackerTest, TracksCallersAndCallsSeparately) {
   End(100, milliseconds(15), RequestOrigin::kUpstream);
   End(100, milliseconds(400));
   End(20, milliseconds(15), RequestOrigin::kUpstream);
--- a/tests/request_path/upstream_pool_test.cc
+++ b/tests/request_path/upstream_pool_test.cc
@@ -7,7 +7,7 @@
 
 using asio::ip::tcp;
 
-// An upstream on loopback that gives every request the same answer.
+// An upstream on loopback that accepts one connection and answers its first request.
 class UpstreamPoolTest : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -45,7 +45,7 @@
   std::unique_ptr<UpstreamPool> pool_;
 };
 
-// Guards against a health answer that is refused because it is no sealed answer to a request.
+// Guards against rejecting a health answer because it has no seal header.
 TEST_F(UpstreamPoolTest, PassesOnAHealthAnswerWithoutSeal) {
   std::optional<http_stream::ResponseMessage> got;
   pool_->AskHealth("/health", Deadline(),
@@ -56,7 +56,7 @@
   EXPECT_EQ(request_.substr(0, 20), "GET /health HTTP/1.1");
 }
 
-// Guards against a success that the upstream did not make and a caller takes for its answer.
+// Guards against passing a success to a caller that the upstream did not produce.
 TEST_F(UpstreamPoolTest, RefusesASuccessWithoutSeal) {
   std::optional<wire::Response> got;
   wire::Request request;
