--- a/libraries/admission/admission_gate.cc
+++ b/libraries/admission/admission_gate.cc
@@ -10,13 +10,13 @@
 namespace {
 
 // Weight of one request in the smoothed service time.
-constexpr double kServiceTimeRate = 0.1;
+constexpr double kServiceTimeWeight = 0.1;
 
-// Longest hint to a caller that was shed. The level follows load within a few control intervals,
-// so a longer pause would leave slots idle after an overload has ended.
-constexpr base::Duration kLongestRetryAfter = std::chrono::seconds(1);
+// Upper bound of the retry-after hint. The admission level follows the load within a few control
+// intervals, so a longer pause would leave slots idle after an overload ends.
+constexpr base::Duration kMaxRetryAfter = std::chrono::seconds(1);
 
-constexpr base::Duration kLongestTargetDelay = std::chrono::milliseconds(50);
+constexpr base::Duration kMaxTargetDelay = std::chrono::milliseconds(50);
 
 }  // namespace
 
@@ -24,14 +24,14 @@
     : limits_((CheckLimits(limits, classes), limits)),
       concurrency_(limits.slots, limits.cold_share),
       controller_(limits.target_delay, limits.control_interval) {
-  Apply(classes);
+  ApplyClassLimits(classes);
 }
 
 Decision AdmissionGate::Offer(const Ticket& ticket, base::TimePoint now) {
   const ClassRank rank = ticket.request_class.rank;
   ClassCounters& counters = CountersOf(ticket.request_class);
   if (running_.contains(ticket.id)) {
-    throw AdmissionError("a request with this ticket id already runs");
+    throw AdmissionError("a request with this ticket id is already running");
   }
   ++counters.offered;
   if (is_leaving_) {
@@ -40,11 +40,11 @@
   classes_[rank].last_offer = now;
   controller_.RecordArrival(rank, ticket.key);
   UpdateLevel(now);
-  if (const auto reason = TooLate(ticket, now)) {
+  if (const auto reason = CheckDeadline(ticket, now)) {
     return Refuse(counters, *reason);
   }
   Decision decision;
-  DropLate(now, decision.changes);
+  DropInfeasible(now, decision.changes);
   RunWaiting(now, decision.changes);
   if (const auto refusal = MakeRoom(ticket, now, decision.changes)) {
     Decision refused = Refuse(counters, *refusal);
@@ -66,7 +66,7 @@
                                   base::TimePoint now, base::Duration downstream_time) {
   const auto found = running_.find(id);
   if (found == running_.end()) {
-    throw AdmissionError("no request with this ticket id runs");
+    throw AdmissionError("no running request has this ticket id");
   }
   const RequestClass request_class = std::move(found->second);
   const std::size_t in_flight = running_.size();
@@ -79,7 +79,7 @@
     service_time_ += service_time_ == base::Duration::zero()
                          ? service_time
                          : std::chrono::duration_cast<base::Duration>(
-                               (service_time - service_time_) * kServiceTimeRate);
+                               (service_time - service_time_) * kServiceTimeWeight);
   }
   const base::Duration own_time = std::max(service_time - downstream_time, base::Duration(1));
   concurrency_.Record(own_time, outcome, in_flight, now);
@@ -89,7 +89,7 @@
 GateChanges AdmissionGate::Expire(base::TimePoint now) {
   GateChanges changes;
   UpdateLevel(now);
-  DropLate(now, changes);
+  DropInfeasible(now, changes);
   RunWaiting(now, changes);
   return changes;
 }
@@ -118,7 +118,7 @@
   limits_ = limits;
   concurrency_.set_slots(limits.slots);
   controller_.Configure(limits.target_delay, limits.control_interval);
-  Apply(classes);
+  ApplyClassLimits(classes);
 }
 
 GateSnapshot AdmissionGate::Snapshot() const {
@@ -136,13 +136,13 @@
   return snapshot;
 }
 
-void AdmissionGate::Apply(const std::vector<ClassLimits>& classes) {
-  queue_.ResetLengths(ClassLimits{}.queue_length);
+void AdmissionGate::ApplyClassLimits(const std::vector<ClassLimits>& classes) {
+  queue_.ResetCapacities(ClassLimits{}.queue_length);
   for (auto& [rank, state] : classes_) {
     state.reserved = 0;
   }
   for (const ClassLimits& limits : classes) {
-    queue_.SetLength(limits.rank, limits.queue_length);
+    queue_.AddCapacity(limits.rank, limits.queue_length);
     classes_[limits.rank].reserved += limits.reserved;
     counters_[limits.name].rank = limits.rank;
   }
@@ -160,15 +160,16 @@
 std::optional<Reason> AdmissionGate::MakeRoom(const Ticket& ticket, base::TimePoint now,
                                               GateChanges& changes) {
   const ClassRank rank = ticket.request_class.rank;
-  // Work has been done for a request from further up, so only a full queue refuses it; the level
-  // acts at the entry, where it is known from answers, and on requests that come straight from it.
+  // Other services have already worked for a request with a depth above 0, so the level does not
+  // refuse it; only a full queue does. The level is enforced at the entry, which learns it from
+  // answers, and here on requests that come directly from the entry.
   const bool is_admitted = ticket.depth > 0 || level().Admits(rank, ticket.key);
   const bool may_run = queue_.size(rank) == 0 && MayRun(rank, now);
   if (is_admitted && (may_run || !queue_.is_full(rank))) {
     return std::nullopt;
   }
-  // Less important requests give way: those that wait lose their place, and those that run free
-  // their slots one by one for waiting requests of the most important class.
+  // A waiting request of lower importance is evicted. While requests of lower importance run, the
+  // most important class may exceed its queue length, because it gets the slots that they free.
   if (auto entry = queue_.EvictBelow(rank)) {
     Drop(std::move(*entry), Reason::kEvicted, changes);
     return std::nullopt;
@@ -191,7 +192,7 @@
   if (running_.size() >= limit) {
     return false;
   }
-  std::size_t kept_free = 0;
+  std::size_t reserved_free = 0;
   for (const auto& [other, state] : classes_) {
     if (other >= rank) {
       break;
@@ -200,11 +201,12 @@
     const auto reserved =
         static_cast<std::size_t>(std::ceil(state.reserved * static_cast<double>(limit)));
     if (is_present && reserved > state.running) {
-      kept_free += reserved - state.running;
+      reserved_free += reserved - state.running;
     }
   }
-  // One slot is always left to the others, or a limit of 1 would shut them out.
-  return running_.empty() || running_.size() + kept_free < limit;
+  // Any class may run on an idle upstream; otherwise a reservation at a limit of 1 would block all
+  // other classes.
+  return running_.empty() || running_.size() + reserved_free < limit;
 }
 
 bool AdmissionGate::HasRunningBelow(ClassRank rank) const {
@@ -220,11 +222,13 @@
   return !classes_.empty() && rank <= classes_.begin()->first;
 }
 
-std::optional<Reason> AdmissionGate::TooLate(const Ticket& ticket, base::TimePoint now) const {
+std::optional<Reason> AdmissionGate::CheckDeadline(const Ticket& ticket,
+                                                   base::TimePoint now) const {
   if (ticket.deadline <= now) {
     return Reason::kExpired;
   }
-  // With nothing running the estimate cannot be renewed, and one request has to find out.
+  // While nothing runs, no finished request updates the estimate, so one request is let through to
+  // measure the service time again.
   if (!running_.empty() && ticket.deadline - now < service_time_) {
     return Reason::kHopeless;
   }
@@ -246,7 +250,7 @@
   changes.dropped.push_back(DroppedTicket{std::move(entry.ticket), reason, RetryAfter(reason)});
 }
 
-void AdmissionGate::DropLate(base::TimePoint now, GateChanges& changes) {
+void AdmissionGate::DropInfeasible(base::TimePoint now, GateChanges& changes) {
   const base::Duration needed = running_.empty() ? base::Duration(1) : service_time_;
   for (QueuedTicket& entry : queue_.RemoveDueBefore(now + needed)) {
     const Reason reason = entry.ticket.deadline <= now ? Reason::kExpired : Reason::kHopeless;
@@ -264,7 +268,7 @@
       if (!entry) {
         break;
       }
-      if (const auto reason = TooLate(entry->ticket, now)) {
+      if (const auto reason = CheckDeadline(entry->ticket, now)) {
         Drop(std::move(*entry), *reason, changes);
         continue;
       }
@@ -275,15 +279,14 @@
 }
 
 void AdmissionGate::UpdateLevel(base::TimePoint now) {
-  // A wait of two service times is no overload yet: chance alone brings it about near capacity. The
-  // bound keeps a slow upstream from using up the deadlines of its callers by waits.
+  // A wait of up to two service times is not overload: random arrivals cause it near capacity. The
+  // upper bound keeps waits at a slow upstream from using up the deadlines of its callers.
   const base::Duration wanted = 2 * concurrency_.reference_latency();
-  controller_.set_target_delay(
-      std::max(limits_.target_delay, std::min(wanted, kLongestTargetDelay)));
+  controller_.set_target_delay(std::max(limits_.target_delay, std::min(wanted, kMaxTargetDelay)));
   const auto oldest = queue_.oldest();
   controller_.Update(oldest ? now - *oldest : base::Duration::zero(), concurrency_.Throughput(),
                      now);
-  queue_.set_newest_first(controller_.is_standing());
+  queue_.set_newest_first(controller_.has_standing_queue());
 }
 
 ClassCounters& AdmissionGate::CountersOf(const RequestClass& request_class) {
@@ -297,8 +300,7 @@
     case Reason::kLevel:
     case Reason::kQueueFull:
     case Reason::kEvicted:
-      return std::min(limits_.control_interval * 2 + controller_.queueing_delay(),
-                      kLongestRetryAfter);
+      return std::min(limits_.control_interval * 2 + controller_.queueing_delay(), kMaxRetryAfter);
     default:
       return base::Duration::zero();
   }
--- a/libraries/admission/admission_gate.h
+++ b/libraries/admission/admission_gate.h
@@ -17,39 +17,41 @@
 
 namespace borageloft::admission {
 
-/** A queued request that left the queue and will not run. Its caller is to be told not-run. */
+/** A request removed from the queue before it ran. Its caller must be told that it did not run. */
 struct DroppedTicket {
   Ticket ticket;
   Reason reason{};
   base::Duration retry_after{};  ///< When another attempt may succeed; zero for no hint.
 };
 
-/** What changed for queued requests. The owner starts the one and answers the other. */
+/** Changes to queued requests. The owner starts those in run and answers those in dropped. */
 struct GateChanges {
-  std::vector<Ticket> run;  ///< Hold a slot from now on; each must be given to Finish() once.
+  std::vector<Ticket> run;  ///< Each now holds a slot and must be passed to Finish() exactly once.
   std::vector<DroppedTicket> dropped;
 };
 
-/** What becomes of an offered request. */
+/** Result of offering a request. */
 enum class Verdict {
-  kRun,      ///< Holds a slot from now on; must be given to Finish() once.
-  kQueued,   ///< Waits; a later call names it in GateChanges.
-  kRefused,  ///< Did not run and never will.
+  kRun,      ///< It now holds a slot and must be passed to Finish() exactly once.
+  kQueued,   ///< It waits; a later call reports it in GateChanges.
+  kRefused,  ///< It did not run and will not run.
 };
 
 /** Answer to an offered request. */
 struct Decision {
   Verdict verdict = Verdict::kRefused;
-  Reason reason = Reason::kLevel;  ///< Why it was refused; meaningless otherwise.
+  Reason reason = Reason::kLevel;  ///< Why it was refused; valid for kRefused only.
   base::Duration retry_after{};    ///< When another attempt may succeed; zero for no hint.
-  GateChanges changes;             ///< Queued requests that this one displaced or overtook.
+  GateChanges changes;             ///< Queued requests that this call started or dropped.
 };
 
 /**
- * Decides for one upstream which requests run, wait or are refused. It never lets more requests run
- * than the announced slots, drops requests that cannot finish in time, and under overload sheds the
- * least important first and consistently per root. The most important class is refused for load
- * only when nothing less important runs or waits here. Not thread-safe: the owning table locks.
+ * Admission control for one upstream: decides which requests run, wait or are refused. No more
+ * requests run than the upstream announced slots, and requests that cannot finish before their
+ * deadline are dropped. Under overload the least important requests are shed first, and the
+ * decision for a root is the same at every gate with the same level. The most important class is
+ * refused for load only when nothing less important runs or waits here. Not thread-safe: the owner
+ * serializes all calls.
  */
 class AdmissionGate {
  public:
@@ -70,8 +72,8 @@
    * @param service_time Time from start to end.
    * @param now Current time.
    * @param downstream_time Part of the service time that the upstream waited for its own calls, as
-   *     far as known. Without it a slow service below looks like a slow upstream.
-   * @return Queued requests that run now, and those dropped in passing.
+   *     far as known. If it is missing, a slow downstream service looks like a slow upstream.
+   * @return Queued requests that start now, and those dropped by this call.
    * @throws AdmissionError if no request with this id runs.
    */
   GateChanges Finish(TicketId id, Outcome outcome, base::Duration service_time, base::TimePoint now,
@@ -81,8 +83,8 @@
   GateChanges Expire(base::TimePoint now);
 
   /**
-   * Removes a queued request whose caller gave up. For a request that runs, nothing happens: it
-   * holds its slot until Finish(), since the upstream may still work on it.
+   * Removes a queued request that its caller cancelled. A running request is not affected: it holds
+   * its slot until Finish(), since the upstream may still work on it.
    */
   GateChanges Cancel(TicketId id, base::TimePoint now);
 
@@ -95,13 +97,13 @@
   /** @return Whether BeginLeaving() was called. */
   bool is_leaving() const { return is_leaving_; }
 
-  /** @return What this gate admits, for the load report of answers. */
+  /** @return The admission level in force, to be reported in answers. */
   AdmissionLevel level() const { return controller_.level(); }
 
   /** @return Requests that hold a slot. */
   std::size_t running() const { return running_.size(); }
 
-  /** @return Requests that may hold a slot at once at present. */
+  /** @return Current concurrency limit: requests that may hold a slot at once. */
   std::size_t limit() const { return concurrency_.limit(); }
 
   /** @return Requests that wait. */
@@ -111,9 +113,9 @@
   base::Duration service_time() const { return service_time_; }
 
   /**
-   * Puts new bounds in force. Requests that run or wait are kept; with fewer slots, none starts
-   * until enough have ended.
-   * @throws AdmissionError if a limit is out of range; the old bounds then stay.
+   * Replaces the limits. Running and waiting requests are kept; with fewer slots, none starts until
+   * enough have finished.
+   * @throws AdmissionError if a limit is out of range; the old limits then stay in force.
    */
   void Reconfigure(const GateLimits& limits, const std::vector<ClassLimits>& classes);
 
@@ -127,16 +129,16 @@
     std::optional<base::TimePoint> last_offer;
   };
 
-  void Apply(const std::vector<ClassLimits>& classes);
+  void ApplyClassLimits(const std::vector<ClassLimits>& classes);
   Decision Refuse(ClassCounters& counters, Reason reason);
   std::optional<Reason> MakeRoom(const Ticket& ticket, base::TimePoint now, GateChanges& changes);
   bool MayRun(ClassRank rank, base::TimePoint now) const;
   bool HasRunningBelow(ClassRank rank) const;
   bool IsMostImportant(ClassRank rank) const;
-  std::optional<Reason> TooLate(const Ticket& ticket, base::TimePoint now) const;
+  std::optional<Reason> CheckDeadline(const Ticket& ticket, base::TimePoint now) const;
   void Start(const Ticket& ticket, base::Duration wait, base::TimePoint now);
   void Drop(QueuedTicket&& entry, Reason reason, GateChanges& changes);
-  void DropLate(base::TimePoint now, GateChanges& changes);
+  void DropInfeasible(base::TimePoint now, GateChanges& changes);
   void RunWaiting(base::TimePoint now, GateChanges& changes);
   void UpdateLevel(base::TimePoint now);
   ClassCounters& CountersOf(const RequestClass& request_class);
--- a/libraries/admission/admission_level.h
+++ b/libraries/admission/admission_level.h
@@ -24,7 +24,7 @@
   /**
    * @param rank The class that is admitted in part.
    * @param share How many of the ShedKey::kPositions keys of that class are admitted; larger values
-   *     are taken as all of them.
+   *     are clamped to all of them.
    */
   constexpr AdmissionLevel(ClassRank rank, std::uint32_t share)
       : rank_(rank), share_(share < ShedKey::kPositions ? share : ShedKey::kPositions) {}
--- a/libraries/admission/class_queue.cc
+++ b/libraries/admission/class_queue.cc
@@ -6,8 +6,9 @@
 
 namespace {
 
-// One call already made for a root counts as this much time used up. It is of the order of one
-// service time, so that depth decides between requests of about the same remaining time.
+// Time subtracted from the deadline for each call between the root and the request when requests
+// are ordered. It is about one service time, so that depth decides only between requests with
+// similar remaining time.
 constexpr base::Duration kDepthCredit = std::chrono::milliseconds(10);
 
 base::TimePoint UrgencyOf(const Ticket& ticket) {
@@ -16,42 +17,42 @@
 
 }  // namespace
 
-void ClassQueue::SetLength(ClassRank rank, std::size_t length) {
-  Lane& lane = lanes_[rank];
-  lane.length = lane.length.value_or(0) + length;
+void ClassQueue::AddCapacity(ClassRank rank, std::size_t capacity) {
+  RankQueue& rank_queue = rank_queues_[rank];
+  rank_queue.capacity = rank_queue.capacity.value_or(0) + capacity;
 }
 
-void ClassQueue::ResetLengths(std::size_t length) {
-  default_length_ = length;
-  for (auto& [rank, lane] : lanes_) {
-    lane.length.reset();
+void ClassQueue::ResetCapacities(std::size_t capacity) {
+  default_capacity_ = capacity;
+  for (auto& [rank, rank_queue] : rank_queues_) {
+    rank_queue.capacity.reset();
   }
 }
 
 void ClassQueue::Push(const Ticket& ticket, base::TimePoint now) {
   const Sequence sequence = next_sequence_++;
   if (!sequences_.emplace(ticket.id, sequence).second) {
-    throw AdmissionError("the ticket id is already queued");
+    throw AdmissionError("a request with this ticket id is already queued");
   }
-  Lane& lane = lanes_[ticket.request_class.rank];
-  lane.by_urgency.emplace(UrgencyOf(ticket), sequence);
-  lane.by_deadline.emplace(ticket.deadline, sequence);
-  lane.by_arrival.insert(sequence);
+  RankQueue& rank_queue = rank_queues_[ticket.request_class.rank];
+  rank_queue.by_urgency.emplace(UrgencyOf(ticket), sequence);
+  rank_queue.by_deadline.emplace(ticket.deadline, sequence);
+  rank_queue.by_arrival.insert(sequence);
   entries_.emplace(sequence, QueuedTicket{ticket, now});
 }
 
 bool ClassQueue::is_full(ClassRank rank) const {
-  const auto found = lanes_.find(rank);
-  if (found == lanes_.end()) {
-    return default_length_ == 0;
+  const auto found = rank_queues_.find(rank);
+  if (found == rank_queues_.end()) {
+    return default_capacity_ == 0;
   }
-  return found->second.by_arrival.size() >= found->second.length.value_or(default_length_);
+  return found->second.by_arrival.size() >= found->second.capacity.value_or(default_capacity_);
 }
 
 std::vector<ClassRank> ClassQueue::waiting_ranks() const {
   std::vector<ClassRank> ranks;
-  for (const auto& [rank, lane] : lanes_) {
-    if (!lane.by_arrival.empty()) {
+  for (const auto& [rank, rank_queue] : rank_queues_) {
+    if (!rank_queue.by_arrival.empty()) {
       ranks.push_back(rank);
     }
   }
@@ -59,26 +60,28 @@
 }
 
 std::optional<QueuedTicket> ClassQueue::Pop(ClassRank rank) {
-  const auto found = lanes_.find(rank);
-  if (found == lanes_.end() || found->second.by_arrival.empty()) {
+  const auto found = rank_queues_.find(rank);
+  if (found == rank_queues_.end() || found->second.by_arrival.empty()) {
     return std::nullopt;
   }
-  const Lane& lane = found->second;
-  return Take(rank, newest_first_ ? *lane.by_arrival.rbegin() : lane.by_urgency.begin()->second);
+  const RankQueue& rank_queue = found->second;
+  return Take(rank, newest_first_ ? *rank_queue.by_arrival.rbegin()
+                                  : rank_queue.by_urgency.begin()->second);
 }
 
 std::optional<QueuedTicket> ClassQueue::EvictBelow(ClassRank rank) {
-  for (auto lane = lanes_.rbegin(); lane != lanes_.rend() && lane->first > rank; ++lane) {
-    if (!lane->second.by_arrival.empty()) {
-      return Take(lane->first, lane->second.by_urgency.rbegin()->second);
+  for (auto rank_queue = rank_queues_.rbegin();
+       rank_queue != rank_queues_.rend() && rank_queue->first > rank; ++rank_queue) {
+    if (!rank_queue->second.by_arrival.empty()) {
+      return Take(rank_queue->first, rank_queue->second.by_urgency.rbegin()->second);
     }
   }
   return std::nullopt;
 }
 
 std::optional<QueuedTicket> ClassQueue::EvictAfter(const Ticket& ticket) {
-  const auto found = lanes_.find(ticket.request_class.rank);
-  if (found == lanes_.end() || found->second.by_urgency.empty()) {
+  const auto found = rank_queues_.find(ticket.request_class.rank);
+  if (found == rank_queues_.end() || found->second.by_urgency.empty()) {
     return std::nullopt;
   }
   const auto& [urgency, sequence] = *found->second.by_urgency.rbegin();
@@ -99,9 +102,9 @@
 
 std::vector<QueuedTicket> ClassQueue::RemoveDueBefore(base::TimePoint time) {
   std::vector<QueuedTicket> removed;
-  for (auto& [rank, lane] : lanes_) {
-    while (!lane.by_deadline.empty() && lane.by_deadline.begin()->first < time) {
-      removed.push_back(Take(rank, lane.by_deadline.begin()->second));
+  for (auto& [rank, rank_queue] : rank_queues_) {
+    while (!rank_queue.by_deadline.empty() && rank_queue.by_deadline.begin()->first < time) {
+      removed.push_back(Take(rank, rank_queue.by_deadline.begin()->second));
     }
   }
   return removed;
@@ -124,8 +127,9 @@
 }
 
 bool ClassQueue::has_below(ClassRank rank) const {
-  for (auto lane = lanes_.upper_bound(rank); lane != lanes_.end(); ++lane) {
-    if (!lane->second.by_arrival.empty()) {
+  for (auto rank_queue = rank_queues_.upper_bound(rank); rank_queue != rank_queues_.end();
+       ++rank_queue) {
+    if (!rank_queue->second.by_arrival.empty()) {
       return true;
     }
   }
@@ -133,8 +137,8 @@
 }
 
 std::size_t ClassQueue::size(ClassRank rank) const {
-  const auto found = lanes_.find(rank);
-  return found == lanes_.end() ? 0 : found->second.by_arrival.size();
+  const auto found = rank_queues_.find(rank);
+  return found == rank_queues_.end() ? 0 : found->second.by_arrival.size();
 }
 
 QueuedTicket ClassQueue::Take(ClassRank rank, Sequence sequence) {
@@ -142,10 +146,10 @@
   QueuedTicket entry = std::move(found->second);
   entries_.erase(found);
   sequences_.erase(entry.ticket.id);
-  Lane& lane = lanes_.at(rank);
-  lane.by_urgency.erase({UrgencyOf(entry.ticket), sequence});
-  lane.by_deadline.erase({entry.ticket.deadline, sequence});
-  lane.by_arrival.erase(sequence);
+  RankQueue& rank_queue = rank_queues_.at(rank);
+  rank_queue.by_urgency.erase({UrgencyOf(entry.ticket), sequence});
+  rank_queue.by_deadline.erase({entry.ticket.deadline, sequence});
+  rank_queue.by_arrival.erase(sequence);
   return entry;
 }
 
--- a/libraries/admission/class_queue.h
+++ b/libraries/admission/class_queue.h
@@ -16,31 +16,32 @@
 
 namespace borageloft::admission {
 
-/** A ticket in the queue and when it came. */
+/** A queued ticket and the time at which it was queued. */
 struct QueuedTicket {
   Ticket ticket;
   base::TimePoint since;
 };
 
 /**
- * Waiting requests, bounded per class and ordered strictly by importance. Within a class the
- * request with the least remaining time goes first, and each call already made for the root counts
- * as time used up, so that work already invested is finished. While the queue is standing, the
- * newest request goes first: it still has time left when the older ones are about to expire.
- * Classes of equal rank share one lane. Not thread-safe.
+ * Priority queue of waiting requests, bounded for each rank and ordered strictly by rank. Within a
+ * rank the request with the least remaining time goes first. Each call between the root and the
+ * request counts as elapsed time, so that requests on which work has been spent are finished. When
+ * a standing queue has built up, the owner selects newest first: the newest request still has time
+ * left when the older ones are about to expire. Classes of equal rank share one queue and the sum
+ * of their capacities. Not thread-safe.
  */
 class ClassQueue {
  public:
-  /** Sets the bound of the lane of @p rank. Tickets over a lowered bound stay. */
-  void SetLength(ClassRank rank, std::size_t length);
+  /** Adds @p capacity to the capacity of @p rank. Tickets over the capacity stay queued. */
+  void AddCapacity(ClassRank rank, std::size_t capacity);
 
-  /** Removes all bounds; lanes without a bound have @p length. */
-  void ResetLengths(std::size_t length);
+  /** Resets every rank to the default capacity, @p capacity. */
+  void ResetCapacities(std::size_t capacity);
 
-  /** Adds @p ticket without regard to the bound. @throws AdmissionError if its id is queued. */
+  /** Adds @p ticket regardless of the capacity. @throws AdmissionError if its id is queued. */
   void Push(const Ticket& ticket, base::TimePoint now);
 
-  /** @return Whether the lane of @p rank is at its bound. */
+  /** @return Whether the queue of @p rank is at or over its capacity. */
   bool is_full(ClassRank rank) const;
 
   /** @return The ranks with waiting tickets, most important first. */
@@ -49,28 +50,28 @@
   /** Removes and returns the ticket of @p rank that goes first, if there is one. */
   std::optional<QueuedTicket> Pop(ClassRank rank);
 
-  /** Removes the ticket that goes last among those less important than @p rank. */
+  /** Removes and returns the last ticket in order if it is less important than @p rank. */
   std::optional<QueuedTicket> EvictBelow(ClassRank rank);
 
-  /** Removes the last ticket of the lane of @p ticket if @p ticket goes before it. */
+  /** Removes and returns the least urgent ticket of the same rank if @p ticket is more urgent. */
   std::optional<QueuedTicket> EvictAfter(const Ticket& ticket);
 
-  /** Removes the ticket with @p id, if it is queued. */
+  /** Removes and returns the ticket with @p id, if it is queued. */
   std::optional<QueuedTicket> Remove(TicketId id);
 
-  /** Removes all tickets whose deadline is before @p time. */
+  /** Removes and returns all tickets whose deadline is before @p time. */
   std::vector<QueuedTicket> RemoveDueBefore(base::TimePoint time);
 
-  /** Removes every ticket. */
+  /** Removes and returns all tickets. */
   std::vector<QueuedTicket> Clear();
 
-  /** Chooses the order within a class: newest first, or least remaining time first. */
+  /** Selects the order within a rank: newest first, or least remaining time first. */
   void set_newest_first(bool newest_first) { newest_first_ = newest_first; }
 
   /** @return Whether the newest ticket goes first. */
   bool is_newest_first() const { return newest_first_; }
 
-  /** @return When the ticket that waits longest came; nothing for an empty queue. */
+  /** @return Time at which the oldest ticket was queued; nothing for an empty queue. */
   std::optional<base::TimePoint> oldest() const;
 
   /** @return Whether a ticket less important than @p rank waits. */
@@ -86,8 +87,8 @@
   using Sequence = std::uint64_t;
   using Order = std::set<std::pair<base::TimePoint, Sequence>>;
 
-  struct Lane {
-    std::optional<std::size_t> length;
+  struct RankQueue {
+    std::optional<std::size_t> capacity;
     Order by_urgency;
     Order by_deadline;
     std::set<Sequence> by_arrival;
@@ -95,10 +96,10 @@
 
   QueuedTicket Take(ClassRank rank, Sequence sequence);
 
-  std::size_t default_length_ = 128;
+  std::size_t default_capacity_ = 128;
   bool newest_first_ = false;
   Sequence next_sequence_ = 1;
-  std::map<ClassRank, Lane> lanes_;
+  std::map<ClassRank, RankQueue> rank_queues_;
   std::map<Sequence, QueuedTicket> entries_;
   std::unordered_map<TicketId, Sequence> sequences_;
 };
--- a/libraries/admission/gate_counters.h
+++ b/libraries/admission/gate_counters.h
@@ -18,9 +18,9 @@
   ClassRank rank = 1;
   std::uint64_t offered = 0;
   std::uint64_t started = 0;                            ///< Given a slot, at once or later.
-  std::uint64_t queued = 0;                             ///< Had to wait at first.
+  std::uint64_t queued = 0;                             ///< Queued when offered.
   std::array<std::uint64_t, kReasonCount> refused{};    ///< Refused when offered, by Reason.
-  std::array<std::uint64_t, kReasonCount> dropped{};    ///< Left the queue unrun, by Reason.
+  std::array<std::uint64_t, kReasonCount> dropped{};    ///< Dropped from the queue, by Reason.
   std::array<std::uint64_t, kOutcomeCount> finished{};  ///< Ended after running, by Outcome.
 };
 
@@ -30,7 +30,7 @@
   std::size_t limit = 0;  ///< Current concurrency limit, 1 to slots.
   std::size_t running = 0;
   std::size_t waiting = 0;
-  base::Duration reference_latency{};  ///< Own latency of the unloaded upstream.
+  base::Duration reference_latency{};  ///< Latency of the unloaded upstream, without its own calls.
   base::Duration service_time{};       ///< Smoothed time from start to finish.
   base::Duration queueing_delay{};     ///< Mean of the last control interval.
   AdmissionLevel level;
--- a/libraries/admission/gate_limits.cc
+++ b/libraries/admission/gate_limits.cc
@@ -15,7 +15,7 @@
     throw AdmissionError(fmt::format("class {}: importance must be at least 1", limits.name));
   }
   if (!(limits.reserved >= 0 && limits.reserved <= kMaxReserved)) {
-    throw AdmissionError(fmt::format("class {}: reserved must be within 0 and 0.5", limits.name));
+    throw AdmissionError(fmt::format("class {}: reserved must be between 0 and 0.5", limits.name));
   }
   if (limits.queue_length > kMaxQueueLength) {
     throw AdmissionError(
@@ -32,7 +32,8 @@
   if (limits.target_delay <= base::Duration::zero() ||
       limits.control_interval <= base::Duration::zero() ||
       limits.reserve_hold < base::Duration::zero()) {
-    throw AdmissionError("target delay and control interval must be positive");
+    throw AdmissionError(
+        "target delay and control interval must be positive and reserve hold not negative");
   }
   if (!(limits.cold_share > 0 && limits.cold_share <= 1)) {
     throw AdmissionError("cold share must be above 0 and at most 1");
--- a/libraries/admission/gate_limits.h
+++ b/libraries/admission/gate_limits.h
@@ -14,7 +14,7 @@
 /** Largest queue length of a class. */
 inline constexpr std::size_t kMaxQueueLength = 65'536;
 
-/** What the release note in force says about one class at this gate. */
+/** Limits of one class at a gate, as the release note in force sets them. */
 struct ClassLimits {
   std::string name;
   ClassRank rank = 1;
@@ -22,27 +22,27 @@
   std::size_t queue_length = 128;  ///< Waiting requests of this class, 0 to 65,536.
 };
 
-/** Bounds of a gate. */
+/** Limits of a gate. */
 struct GateLimits {
   std::size_t slots = 1;  ///< Requests that the upstream announced it can run at once, at least 1.
 
-  /** Queueing delay that the admission level is steered to, unless service takes longer. */
+  /** Queueing delay that the admission level aims at; more for an upstream with long service. */
   base::Duration target_delay = std::chrono::milliseconds(10);
 
   /**
    * Time between two changes of the admission level. Twenty changes fit into the one second in
-   * which service has to recover.
+   * which service has to recover from an overload.
    */
   base::Duration control_interval = std::chrono::milliseconds(50);
 
-  /** A class that sent nothing for this long has no reserved slots, so that none stays idle. */
+  /** Time without a request after which a class loses its reserved slots, so that none is idle. */
   base::Duration reserve_hold = std::chrono::seconds(1);
 
-  /** A cold upstream begins with this share of its slots and ramps up from there. */
+  /** Initial concurrency limit of a cold upstream, as a share of its slots. */
   double cold_share = 0.25;
 };
 
-/** @throws AdmissionError naming the first value that is out of range. */
+/** @throws AdmissionError for the first value that is out of range. */
 void CheckLimits(const GateLimits& limits, const std::vector<ClassLimits>& classes);
 
 }  // namespace borageloft::admission
--- a/libraries/admission/level_controller.h
+++ b/libraries/admission/level_controller.h
@@ -12,45 +12,46 @@
 namespace borageloft::admission {
 
 /**
- * Turns queueing delay into an admission level. In each control interval it measures how much work
- * of each class came within the level, how much was finished and how long requests waited. While
- * the delay is above its target, the level is closed in proportion to the excess, and further if
- * more comes in than is finished. While it is below, the level is opened by steps that grow with
- * every interval without delay. All measures are smoothed, since a gate sees only about a dozen
- * requests per interval. Not thread-safe.
+ * Feedback controller that sets the admission level from the queueing delay. In each control
+ * interval it measures how many requests of each class arrived within the level, how many finished
+ * and how long requests waited. While the delay is above its target, the level is closed until the
+ * inflow matches the capacity, less a part that grows with the excess and drains the queue. While
+ * the delay is below the target, the level is opened in steps that grow with each interval in which
+ * the upstream is idle. The rates are smoothed, since a gate sees only about a dozen requests per
+ * interval. Not thread-safe.
  */
 class LevelController {
  public:
   /**
-   * @param target_delay Queueing delay to steer to, positive.
+   * @param target_delay Queueing delay to aim at, positive.
    * @param interval Time between changes of the level, positive.
    */
   LevelController(base::Duration target_delay, base::Duration interval);
 
-  /** Changes target and interval and keeps the level. */
+  /** Changes target and interval; keeps the level. @throws AdmissionError if not positive. */
   void Configure(base::Duration target_delay, base::Duration interval);
 
-  /** Changes the target, for an upstream whose service time is longer. */
+  /** Changes the target delay, which depends on the service time; must be positive. */
   void set_target_delay(base::Duration target_delay) { target_delay_ = target_delay; }
 
-  /** Records a request that came, whether or not the level admits it. */
+  /** Records an arriving request, whether or not the level admits it. */
   void RecordArrival(ClassRank rank, ShedKey key);
 
   /** Records how long a request waited before it started. */
   void RecordWait(base::Duration wait);
 
   /**
-   * Records a request that ran to its end.
-   * @param utilization Requests that ran at that moment, as a share of the concurrency limit.
+   * Records a request that ran and ended.
+   * @param utilization Requests running at that moment, as a share of the concurrency limit.
    */
   void RecordFinish(double utilization) {
-    ++finished_;
+    ++finished_count_;
     utilization_sum_ += utilization;
   }
 
   /**
-   * Closes the control interval if it is over.
-   * @param oldest_wait How long the oldest waiting request has waited; zero without one.
+   * Ends the control interval and sets the next level, if the interval is over.
+   * @param oldest_wait Wait of the oldest queued request so far; zero for an empty queue.
    * @param throughput Requests per second that the upstream finishes at its concurrency limit.
    * @param now Current time.
    */
@@ -60,36 +61,36 @@
   AdmissionLevel level() const { return level_; }
 
   /**
-   * @return The most open level of the last intervals. Requests admitted at the entry under that
-   *     level are still on their way, and refusing them here would waste the work done for them.
+   * @return The most open level of the last intervals. Requests that the entry admitted under that
+   *     level may still arrive, and refusing them here would waste the work done for them.
    */
   AdmissionLevel recent_level() const;
 
-  /** @return Mean wait in the last control interval. */
-  base::Duration queueing_delay() const { return delay_; }
+  /** @return Mean wait in the last control interval, or the weighted oldest wait if longer. */
+  base::Duration queueing_delay() const { return queueing_delay_; }
 
-  /** @return Whether even the shortest wait of the last interval was above the target. */
-  bool is_standing() const { return is_standing_; }
+  /** @return Whether even the shortest wait of the last interval was above the target delay. */
+  bool has_standing_queue() const { return has_standing_queue_; }
 
  private:
-  // Smoothed requests per interval of one class.
+  // Requests of one class per interval.
   struct Demand {
-    std::uint64_t offered = 0;   // In this interval.
-    std::uint64_t admitted = 0;  // In this interval.
-    double inflow = 0;           // Within the level.
-    double full = 0;             // If every key were admitted; falls slowly, as it may be hidden.
+    std::uint64_t offered = 0;   // Arrivals in this interval.
+    std::uint64_t admitted = 0;  // Arrivals in this interval that the level admits.
+    double inflow = 0;           // Smoothed count of admitted arrivals.
+    double unshed = 0;           // Estimate without shedding; decays slowly, as callers shed too.
   };
 
   static constexpr std::size_t kRecentIntervals = 6;
 
-  void Measure();
+  void UpdateEstimates();
   double TotalInflow() const;
-  AdmissionLevel Closed(double factor) const;
-  AdmissionLevel Opened(double factor) const;
+  AdmissionLevel ClosedLevel(double factor) const;
+  AdmissionLevel OpenedLevel(double factor) const;
   double ClosingFactor(double delay_ratio) const;
   double OpeningFactor(double delay_ratio, double idle_capacity);
-  AdmissionLevel Reachable() const;
-  void Adopt(AdmissionLevel level);
+  AdmissionLevel HighestUsefulLevel() const;
+  void SetLevel(AdmissionLevel level);
   void StartInterval(base::TimePoint now);
 
   base::Duration target_delay_;
@@ -99,18 +100,18 @@
 
   bool has_started_ = false;
   base::TimePoint interval_start_{};
-  std::uint64_t finished_ = 0;
+  std::uint64_t finished_count_ = 0;
   double utilization_sum_ = 0;
-  std::uint64_t waits_ = 0;
+  std::uint64_t wait_count_ = 0;
   base::Duration wait_sum_{};
   base::Duration wait_min_ = base::Duration::max();
-  base::Duration delay_{};
-  bool is_standing_ = false;
+  base::Duration queueing_delay_{};
+  bool has_standing_queue_ = false;
   double outflow_ = 0;   // Smoothed finished requests per interval.
   double capacity_ = 0;  // Smoothed finished requests per interval with delay above target.
-  std::uint32_t calm_intervals_ = 0;
-  std::array<AdmissionLevel, kRecentIntervals> recent_{};
-  std::array<AdmissionLevel, kRecentIntervals> ceilings_;  // Least important key that came.
+  std::uint32_t idle_intervals_ = 0;
+  std::array<AdmissionLevel, kRecentIntervals> recent_levels_{};
+  std::array<AdmissionLevel, kRecentIntervals> highest_arrivals_;  // Least important arrival.
   std::size_t next_recent_ = 0;
 };
 
--- a/libraries/admission/load_level_map.cc
+++ b/libraries/admission/load_level_map.cc
@@ -9,13 +9,13 @@
 
 namespace {
 
-// A level is re-decided about this often, so an earlier attempt meets the same refusal.
+// A level changes about this often, so an earlier attempt would probably be refused again.
 constexpr base::Duration kRetryAfter = std::chrono::milliseconds(100);
 
-// With more reports than this the median is kept for a time: computing it from 6,400 takes 70 us.
-// The time is short against the 50 ms in which a gate changes its level.
-constexpr std::size_t kManyReports = 32;
-constexpr base::Duration kMedianAge = std::chrono::milliseconds(5);
+// With more reports than this the median is cached for a time: computing it from 6,400 reports
+// takes 70 us. The time is short compared with the 50 ms in which a gate changes its level.
+constexpr std::size_t kMaxUncachedReports = 32;
+constexpr base::Duration kMaxMedianAge = std::chrono::milliseconds(5);
 
 }  // namespace
 
@@ -55,10 +55,10 @@
     return {};
   }
   const Service& service_levels = found->second;
-  if (service_levels.reports.size() <= kManyReports) {
+  if (service_levels.reports.size() <= kMaxUncachedReports) {
     return Median(service_levels, now);
   }
-  if (now - service_levels.computed_at >= kMedianAge) {
+  if (now - service_levels.computed_at >= kMaxMedianAge) {
     service_levels.median = Median(service_levels, now);
     service_levels.computed_at = now;
   }
@@ -76,7 +76,8 @@
   if (levels.empty()) {
     return {};
   }
-  // The upper middle of an even count: two upstreams that disagree do not shut the service.
+  // For an even count the more open of the two middle levels, so that one of two upstreams alone
+  // cannot close the service.
   const auto middle = levels.begin() + static_cast<std::ptrdiff_t>(levels.size() / 2);
   std::nth_element(levels.begin(), middle, levels.end());
   return *middle;
@@ -104,12 +105,12 @@
   if (age <= hold_ || report.level.is_open()) {
     return report.level;
   }
-  // The share grows linearly to the whole class; after the decay the report is forgotten.
-  const double part =
+  // The share grows linearly to the whole class; after the decay the report no longer counts.
+  const double fraction =
       static_cast<double>((age - hold_).count()) / static_cast<double>(decay_.count());
-  const double closed = ShedKey::kPositions - report.level.share();
+  const double shed = ShedKey::kPositions - report.level.share();
   return {report.level.rank(),
-          report.level.share() + static_cast<std::uint32_t>(closed * std::min(part, 1.0))};
+          report.level.share() + static_cast<std::uint32_t>(shed * std::min(fraction, 1.0))};
 }
 
 }  // namespace borageloft::admission
--- a/libraries/admission/load_level_map.h
+++ b/libraries/admission/load_level_map.h
@@ -12,26 +12,27 @@
 
 namespace borageloft::admission {
 
-/** Verdict of LoadLevelMap::Admit. */
+/** Result of LoadLevelMap::Admit. */
 struct PathVerdict {
   bool is_admitted = true;
-  std::string service;           ///< The service that would refuse; empty if admitted.
+  std::string service;           ///< First service that sheds the request; empty if admitted.
   AdmissionLevel level;          ///< Worst level along the path.
   base::Duration retry_after{};  ///< When the caller may try again; zero if admitted.
 };
 
 /**
  * Admission levels of the services that a node calls, learned from answers. An answer carries the
- * worst level along the call path that it took, so an entry refuses what a deep service would
- * refuse. The level of a service is the median over the upstreams that reported, so that one
- * upstream with a false report cannot shut the service. A level that no answer refreshes opens
- * again within a bounded time, so a stale one cannot shut it either. Not thread-safe.
+ * lowest level along its call path, so an entry refuses what a service further down would refuse.
+ * The level of a service is the median over the upstreams that reported, so that one upstream with
+ * a wrong report cannot close the service. A level that no answer renews opens again within a
+ * bounded time, so a stale report cannot keep the service closed either. Not thread-safe.
  */
 class LoadLevelMap {
  public:
   /**
-   * @param hold How long a report counts in full.
-   * @param decay Time after the hold in which a report opens until it is forgotten; positive.
+   * @param hold How long a report counts unchanged; not negative.
+   * @param decay Time after the hold in which a report opens until it no longer counts; positive.
+   * @throws AdmissionError if either is out of range.
    */
   LoadLevelMap(base::Duration hold, base::Duration decay);
 
@@ -46,8 +47,8 @@
               base::TimePoint now);
 
   /**
-   * Decides whether a root request may be sent along a path. It is meant for the entry only: for a
-   * call further down, work has been done already, and the gate that is called decides.
+   * Decides whether a root request may be sent along a path. Only the entry uses it: for a call
+   * further down, work has already been done, and the gate of the called upstream decides.
    * @param path Services that the request is known to call, in any order.
    * @param rank Class of the request.
    * @param key Shed key of its root.
--- a/libraries/admission/shed_key.h
+++ b/libraries/admission/shed_key.h
@@ -11,7 +11,7 @@
 
 /**
  * Position of a root request in the order of shedding within its class. It depends only on the root
- * id, so every service takes the same decision and a root admitted at the entry is finished.
+ * id, so services at the same level decide alike, and a root admitted at the entry is finished.
  */
 class ShedKey {
  public:
--- a/libraries/admission/ticket.h
+++ b/libraries/admission/ticket.h
@@ -10,7 +10,7 @@
 
 namespace borageloft::admission {
 
-/** Names one request at one gate; unique among the requests that the gate holds. */
+/** Identifies a request at one gate; unique among the requests that the gate holds. */
 enum class TicketId : std::uint64_t {};
 
 /** Class of a request as the release note in force defines it. */
@@ -19,7 +19,7 @@
   ClassRank rank = 1;  ///< 1 is the most important.
 };
 
-/** One request as the gate sees it. */
+/** Attributes of a request that decide about its admission. */
 struct Ticket {
   TicketId id{};
   RequestClass request_class;
@@ -42,10 +42,10 @@
 enum class Reason {
   kLeaving,    ///< The upstream is leaving.
   kLevel,      ///< The admission level sheds this class and key.
-  kQueueFull,  ///< The queue of the class is full and nothing gives way.
+  kQueueFull,  ///< The queue of the class is full and no request in it can be evicted.
   kHopeless,   ///< The remaining time is below the current service time.
   kExpired,    ///< The deadline has passed.
-  kEvicted,    ///< Gave its place to a request that goes before it.
+  kEvicted,    ///< Removed from the queue in favour of a request that goes before it.
   kCancelled,  ///< The caller cancelled it before it ran.
 };
 
@@ -55,8 +55,7 @@
 /** Number of values of Reason. */
 inline constexpr std::size_t kReasonCount = 7;
 
-/** @return The stable name of @p reason in lower snake case, for logs, metrics and problem types.
- */
+/** @return The stable name of @p reason in lower snake case, for logs, metrics and problems. */
 const char* NameOf(Reason reason);
 
 /** @return The stable name of @p outcome in lower snake case. */
--- a/tests/admission/admission_gate_test.cc
+++ b/tests/admission/admission_gate_test.cc
@@ -38,7 +38,7 @@
   std::uint64_t next_id_ = 1;
 };
 
-// Guards against more requests at the upstream than it announced slots.
+// Guards against more running requests than the upstream announced slots.
 TEST_F(AdmissionGateTest, RunsNoMoreThanTheSlots) {
   AdmissionGate gate(Limits(2), Classes());
   const Ticket first = Make(2);
@@ -60,7 +60,7 @@
   EXPECT_THROW(gate.Finish(ticket.id, Outcome::kSucceeded, milliseconds(5), now_), AdmissionError);
 }
 
-// Guards against an important request being refused while less important ones hold the queue.
+// Guards against an important request being refused while less important ones fill the queue.
 TEST_F(AdmissionGateTest, FullQueueGivesWayToMoreImportant) {
   AdmissionGate gate(Limits(1), Classes(1));
   EXPECT_EQ(Offer(gate, Make(1)), Verdict::kRun);
@@ -83,7 +83,7 @@
   EXPECT_EQ(Offer(gate, Make(2)), Verdict::kRefused);
 }
 
-// Guards against work for a caller that no longer waits for it.
+// Guards against running a request whose caller stops waiting before it can finish.
 TEST_F(AdmissionGateTest, DropsHopelessAndExpired) {
   AdmissionGate gate(Limits(1), Classes());
   const Ticket first = Make(2);
@@ -98,8 +98,9 @@
   EXPECT_EQ(changes.dropped[0].reason, Reason::kHopeless);
 }
 
-// Guards against an estimate from a slow phase that refuses every request for good.
-TEST_F(AdmissionGateTest, HopelessRuleNeverShutsAnIdleGate) {
+// Guards against a long service time estimate that refuses every request: with nothing running, no
+// finished request would ever correct it.
+TEST_F(AdmissionGateTest, IdleGateAdmitsDespiteLongEstimate) {
   AdmissionGate gate(Limits(1), Classes());
   const Ticket slow = Make(2);
   EXPECT_EQ(Offer(gate, slow), Verdict::kRun);
@@ -107,8 +108,8 @@
   EXPECT_EQ(Offer(gate, Make(2, milliseconds(100))), Verdict::kRun);
 }
 
-// Guards against lower classes that hold every slot with long requests, and against reserved slots
-// that stay idle while their class is absent.
+// Guards against long requests of less important classes that hold every slot, and against reserved
+// slots that stay idle while their class sends no requests.
 TEST_F(AdmissionGateTest, ReservedSlotsFollowPresence) {
   AdmissionGate gate(Limits(4), Classes(4, 0.5));
   const Ticket claim = Make(1);
@@ -123,7 +124,7 @@
   EXPECT_EQ(gate.running(), 4U);
 }
 
-// Guards against new work at a leaving upstream and against a drain that cuts off running work.
+// Guards against new requests at a leaving upstream, and against a drain that ends running ones.
 TEST_F(AdmissionGateTest, LeavingDropsTheQueueAndKeepsRunning) {
   AdmissionGate gate(Limits(1), Classes());
   const Ticket running = Make(2);
@@ -138,7 +139,7 @@
   EXPECT_TRUE(gate.has_drained());
 }
 
-// Guards against a cancelled request that later takes a slot.
+// Guards against a cancelled request that takes a slot later.
 TEST_F(AdmissionGateTest, CancelledRequestNeverRuns) {
   AdmissionGate gate(Limits(1), Classes());
   const Ticket running = Make(2);
@@ -151,7 +152,7 @@
   EXPECT_TRUE(gate.Finish(running.id, Outcome::kCancelled, milliseconds(5), now_).run.empty());
 }
 
-// Guards against a release note that lowers the slots and lets the gate start work over them.
+// Guards against a gate that starts requests over the slots after a release note lowered them.
 TEST_F(AdmissionGateTest, ReconfigureKeepsRunningAndStartsNoneOverTheSlots) {
   AdmissionGate gate(Limits(3), Classes());
   const Ticket first = Make(2);
--- a/tests/admission/control_test.cc
+++ b/tests/admission/control_test.cc
@@ -36,7 +36,7 @@
   EXPECT_EQ(ShedKey::FromRoot("root"), ShedKey::FromRoot("root"));
 }
 
-// Guards against work of earlier hops that is lost because newer roots go first.
+// Guards against losing the work of earlier hops because newer roots go first.
 TEST(ClassQueueTest, OrdersByRemainingTimeAndDepth) {
   ClassQueue queue;
   queue.Push(Make(1, 2, milliseconds(100)), kStart);
@@ -58,10 +58,10 @@
   EXPECT_EQ(queue.oldest(), kStart);
 }
 
-// Guards against an eviction that hits a request more important than the one it makes room for.
+// Guards against evicting a request that is more important or more urgent than the new one.
 TEST(ClassQueueTest, EvictsOnlyWhatGoesAfter) {
   ClassQueue queue;
-  queue.SetLength(2, 1);
+  queue.AddCapacity(2, 1);
   queue.Push(Make(1, 2, milliseconds(50)), kStart);
   EXPECT_TRUE(queue.is_full(2));
   EXPECT_FALSE(queue.EvictBelow(2));
@@ -75,16 +75,16 @@
 
 class ConcurrencyLimitTest : public ::testing::Test {
  protected:
-  // Runs an upstream at its limit; work beyond the cores takes longer in proportion.
+  // Simulates an upstream in full use; requests beyond its cores slow all of them in proportion.
   void Run(double seconds_of_run, std::size_t cores, base::Duration own_time) {
     const base::TimePoint end =
         now_ + base::Duration(static_cast<std::int64_t>(seconds_of_run * 1e9));
     while (now_ < end) {
       const std::size_t in_flight = limit_.limit();
-      const double stretch =
+      const double slowdown =
           std::max(1.0, static_cast<double>(in_flight) / static_cast<double>(cores));
       const base::Duration latency(
-          static_cast<std::int64_t>(static_cast<double>(own_time.count()) * stretch));
+          static_cast<std::int64_t>(static_cast<double>(own_time.count()) * slowdown));
       now_ += latency / static_cast<base::Duration::rep>(in_flight);
       limit_.Record(latency, Outcome::kSucceeded, in_flight, now_);
     }
@@ -94,8 +94,8 @@
   ConcurrencyLimit limit_{200, 0.05};
 };
 
-// Guards against a limit that stays at its cold start or grows to the announced slots although the
-// upstream can work on fewer.
+// Guards against a limit that stays at its initial value, or that grows to the announced slots
+// although the upstream can work on fewer requests at once.
 TEST_F(ConcurrencyLimitTest, FindsTheCapacity) {
   EXPECT_EQ(limit_.limit(), 10U);
   Run(30, 40, milliseconds(10));
@@ -103,21 +103,21 @@
   EXPECT_LE(limit_.limit(), 80U);
 }
 
-// Guards against a limit that follows lost capacity too slowly.
+// Guards against a limit that falls too slowly after the upstream has lost capacity.
 TEST_F(ConcurrencyLimitTest, FollowsLostCapacity) {
   Run(30, 40, milliseconds(10));
   Run(3, 5, milliseconds(10));
   EXPECT_LE(limit_.limit(), 20U);
 }
 
-// Guards against a limit that falls to 1 when every request takes longer for another reason.
+// Guards against a limit that falls to 1 when requests slow down for a reason other than load.
 TEST_F(ConcurrencyLimitTest, KeepsLimitWhenFewerRequestsDoNotHelp) {
   Run(30, 40, milliseconds(10));
   Run(20, 1000, milliseconds(100));
   EXPECT_GE(limit_.limit(), 40U);
 }
 
-// Guards against an upstream that refuses for load while its answers stay fast.
+// Guards against ignoring overload refusals because they are answered fast.
 TEST_F(ConcurrencyLimitTest, LowersOnRefusals) {
   for (int i = 0; i < 400; ++i) {
     now_ += milliseconds(1);
@@ -130,8 +130,8 @@
 
 class LevelControllerTest : public ::testing::Test {
  protected:
-  // One interval of 20 requests of each class, of which the given number finish.
-  void Interval(int finished, base::Duration wait) {
+  // Runs one interval with 20 arrivals of each class; the given number of requests finish.
+  void RunInterval(int finished, base::Duration wait) {
     std::array<ClassRank, 3> ranks = {1, 2, 3};
     for (const ClassRank rank : ranks) {
       for (std::uint64_t i = 0; i < 20; ++i) {
@@ -150,47 +150,48 @@
   LevelController controller_{milliseconds(10), milliseconds(50)};
 };
 
-// Guards against a level that sheds a class before those below it, or that does not open again.
+// Guards against shedding a class before the less important ones, and against a level that does not
+// open again.
 TEST_F(LevelControllerTest, ClosesFromBelowAndOpensWithinASecond) {
-  Interval(30, base::Duration::zero());
+  RunInterval(30, base::Duration::zero());
   EXPECT_TRUE(controller_.level().is_open());
   for (int i = 0; i < 60; ++i) {
-    Interval(30, milliseconds(40));
+    RunInterval(30, milliseconds(40));
   }
   EXPECT_EQ(controller_.level().rank(), 2U);
   for (int i = 0; i < 20; ++i) {
-    Interval(30, base::Duration::zero());
+    RunInterval(30, base::Duration::zero());
   }
   EXPECT_TRUE(controller_.level().is_open());
 }
 
-// Guards against a level that closes for good: without requests a gate cannot notice recovery.
+// Guards against a level that closes completely: without requests a gate cannot detect recovery.
 TEST_F(LevelControllerTest, NeverClosesWholly) {
   for (int i = 0; i < 400; ++i) {
-    Interval(1, seconds(1));
+    RunInterval(1, seconds(1));
   }
   EXPECT_EQ(controller_.level().rank(), 1U);
   EXPECT_GT(controller_.level().share(), 0U);
 }
 
-// Guards against one upstream with a false report that shuts a service, and against a stale level
-// that keeps it shut.
+// Guards against one upstream with a wrong report that closes a service, and against a stale level
+// that keeps it closed.
 TEST(LoadLevelMapTest, MedianHoldsAndDecays) {
   LoadLevelMap levels(milliseconds(300), milliseconds(500));
   const std::vector<std::string> path = {"front", "deep"};
   const ShedKey high(~0ULL);
   EXPECT_TRUE(levels.Admit(path, 3, high, kStart).is_admitted);
-  const AdmissionLevel shut(1, 0);
-  levels.Report("deep", 1, shut, kStart);
+  const AdmissionLevel closed(1, 0);
+  levels.Report("deep", 1, closed, kStart);
   levels.Report("deep", 2, AdmissionLevel(), kStart);
   levels.Report("deep", 3, AdmissionLevel(), kStart);
   EXPECT_TRUE(levels.Admit(path, 3, high, kStart).is_admitted);
-  levels.Report("deep", 2, shut, kStart);
+  levels.Report("deep", 2, closed, kStart);
   const PathVerdict verdict = levels.Admit(path, 3, high, kStart + milliseconds(300));
   EXPECT_FALSE(verdict.is_admitted);
   EXPECT_EQ(verdict.service, "deep");
   EXPECT_GT(verdict.retry_after, base::Duration::zero());
-  EXPECT_EQ(levels.WorstAlong(path, kStart), shut);
+  EXPECT_EQ(levels.WorstAlong(path, kStart), closed);
   EXPECT_TRUE(levels.Admit(path, 1, ShedKey(0), kStart + milliseconds(550)).is_admitted);
   EXPECT_TRUE(levels.Admit(path, 3, high, kStart + milliseconds(800)).is_admitted);
   levels.Expire(kStart + milliseconds(800));
