--- a/libraries/retry/attempt_limiter.cc
+++ b/libraries/retry/attempt_limiter.cc
@@ -16,34 +16,34 @@
   if (!(limits.repeats_per_first >= 0) || !(limits.burst >= 0) ||
       limits.memory <= base::Duration::zero() || limits.max_callers == 0 ||
       limits.max_requests == 0) {
-    throw RetryError("the bounds of repeated attempts must not be negative or empty");
+    throw RetryError("attempt limits must not be negative, and memory and maxima must be positive");
   }
 }
 
 AttemptDecision AttemptLimiter::Offer(std::uint64_t caller_id, std::uint64_t request,
                                       base::TimePoint now) {
   Caller& caller = Touch(caller_id);
-  while (!caller.order.empty() && now - caller.order.front().at > limits_.memory) {
-    Forget(caller, caller.order.begin());
+  while (!caller.lru_requests.empty() && now - caller.lru_requests.front().at > limits_.memory) {
+    Forget(caller, caller.lru_requests.begin());
   }
   const auto found = caller.requests.find(request);
   if (found == caller.requests.end()) {
     if (caller.requests.size() >= limits_.max_requests) {
-      Forget(caller, caller.order.begin());
+      Forget(caller, caller.lru_requests.begin());
     }
-    caller.order.push_back({request, now});
-    caller.requests.emplace(request, std::prev(caller.order.end()));
-    caller.repeats = std::min(limits_.burst, caller.repeats + limits_.repeats_per_first);
+    caller.lru_requests.push_back({request, now});
+    caller.requests.emplace(request, std::prev(caller.lru_requests.end()));
+    caller.repeats_left = std::min(limits_.burst, caller.repeats_left + limits_.repeats_per_first);
     return {AttemptVerdict::kFirst, {}};
   }
-  if (caller.repeats < 1) {
-    // The time of the last attempt let through stays, or a caller that never pauses would be
-    // refused for good.
+  if (caller.repeats_left < 1) {
+    // A refused attempt does not renew the time of the request; otherwise a caller that repeats
+    // without a pause would be refused forever.
     return {AttemptVerdict::kRepeatRefused, kRetryAfter};
   }
-  caller.repeats -= 1;
+  caller.repeats_left -= 1;
   found->second->at = now;
-  caller.order.splice(caller.order.end(), caller.order, found->second);
+  caller.lru_requests.splice(caller.lru_requests.end(), caller.lru_requests, found->second);
   return {AttemptVerdict::kRepeatAdmitted, {}};
 }
 
@@ -61,22 +61,22 @@
 AttemptLimiter::Caller& AttemptLimiter::Touch(std::uint64_t id) {
   auto found = callers_.find(id);
   if (found != callers_.end()) {
-    order_.splice(order_.end(), order_, found->second.place);
+    lru_callers_.splice(lru_callers_.end(), lru_callers_, found->second.lru_position);
     return found->second;
   }
   if (callers_.size() >= limits_.max_callers) {
-    callers_.erase(order_.front());
-    order_.pop_front();
+    callers_.erase(lru_callers_.front());
+    lru_callers_.pop_front();
   }
   found = callers_.emplace(id, Caller{}).first;
-  found->second.repeats = limits_.burst;
-  found->second.place = order_.insert(order_.end(), id);
+  found->second.repeats_left = limits_.burst;
+  found->second.lru_position = lru_callers_.insert(lru_callers_.end(), id);
   return found->second;
 }
 
-void AttemptLimiter::Forget(Caller& caller, std::list<Seen>::iterator seen) {
-  caller.requests.erase(seen->request);
-  caller.order.erase(seen);
+void AttemptLimiter::Forget(Caller& caller, std::list<SeenRequest>::iterator seen_request) {
+  caller.requests.erase(seen_request->request);
+  caller.lru_requests.erase(seen_request);
 }
 
 }  // namespace borageloft::retry
--- a/libraries/retry/attempt_limiter.h
+++ b/libraries/retry/attempt_limiter.h
@@ -11,41 +11,41 @@
 
 namespace borageloft::retry {
 
-/** What becomes of an attempt of a caller. */
+/** Result of offering an attempt of a caller. */
 enum class AttemptVerdict {
-  kFirst,           ///< Not seen lately, or the last one succeeded; always let through.
-  kRepeatAdmitted,  ///< A repeated attempt within the caller's share.
-  kRepeatRefused,   ///< A repeated attempt over the caller's share.
+  kFirst,           ///< Not remembered, or the last attempt succeeded; always admitted.
+  kRepeatAdmitted,  ///< A repeated attempt that the caller's limit allows.
+  kRepeatRefused,   ///< A repeated attempt over the caller's limit.
 };
 
-/** Answer about an attempt. */
+/** Decision about an attempt. */
 struct AttemptDecision {
   AttemptVerdict verdict = AttemptVerdict::kFirst;
-  base::Duration retry_after{};  ///< For a refused repeat; zero otherwise.
+  base::Duration retry_after{};  ///< Hint for a refused repeat; zero otherwise.
 };
 
 /** Bounds of an AttemptLimiter. */
 struct AttemptLimits {
-  /** Repeated attempts per first attempt of the caller. */
+  /** Repeated attempts that each first attempt of the caller adds to its limit. */
   double repeats_per_first = 0.1;
 
-  /** Repeated attempts that a caller can save up; also what a new caller begins with. */
+  /** Most repeated attempts that a caller can accumulate; a new caller starts with all of them. */
   double burst = 3;
 
-  /** An attempt of the same request within this time is a repeated one. */
+  /** An attempt within this time of the last admitted one of the same request is a repeat. */
   base::Duration memory = std::chrono::seconds(10);
 
-  /** Callers that are remembered; the least recently seen one is forgotten first. */
+  /** Most callers that are remembered; the least recently seen one is evicted first. */
   std::size_t max_callers = 16'384;
 
-  /** Unfinished requests remembered for each caller; the oldest is forgotten first. */
+  /** Most unfinished requests remembered for each caller; the oldest one is evicted first. */
   std::size_t max_requests = 256;
 };
 
 /**
- * Limits at the entry how often one caller repeats a request that has not succeeded. First attempts
- * are never refused and are what earns repeats, so a caller that retries hard hurts only its own
- * repeats. Not thread-safe.
+ * Limits at the entry how often one caller repeats a request that has not succeeded, with a token
+ * bucket for each caller that first attempts fill. First attempts are never refused, so a caller
+ * that retries too often loses only its own repeats. Not thread-safe.
  */
 class AttemptLimiter {
  public:
@@ -67,23 +67,23 @@
   std::size_t size() const { return callers_.size(); }
 
  private:
-  struct Seen {
+  struct SeenRequest {
     std::uint64_t request = 0;
     base::TimePoint at;
   };
   struct Caller {
-    double repeats = 0;
-    std::list<Seen> order;  // Least recently offered first.
-    std::unordered_map<std::uint64_t, std::list<Seen>::iterator> requests;
-    std::list<std::uint64_t>::iterator place;
+    double repeats_left = 0;
+    std::list<SeenRequest> lru_requests;  // Least recently admitted first.
+    std::unordered_map<std::uint64_t, std::list<SeenRequest>::iterator> requests;
+    std::list<std::uint64_t>::iterator lru_position;
   };
 
   Caller& Touch(std::uint64_t id);
-  static void Forget(Caller& caller, std::list<Seen>::iterator seen);
+  static void Forget(Caller& caller, std::list<SeenRequest>::iterator seen_request);
 
   AttemptLimits limits_;
   std::unordered_map<std::uint64_t, Caller> callers_;
-  std::list<std::uint64_t> order_;  // Least recently seen first.
+  std::list<std::uint64_t> lru_callers_;  // Least recently seen first.
 };
 
 }  // namespace borageloft::retry
--- a/libraries/retry/backoff_policy.h
+++ b/libraries/retry/backoff_policy.h
@@ -9,8 +9,8 @@
 namespace borageloft::retry {
 
 /**
- * Exponential backoff with full jitter: the pause is drawn evenly from zero to a bound that doubles
- * with each attempt, so that callers which failed together do not return together.
+ * Exponential backoff with full jitter: the pause is drawn uniformly from zero to a bound that
+ * doubles with each retry, so that callers which failed together do not retry together.
  */
 class BackoffPolicy {
  public:
@@ -24,10 +24,10 @@
 
   /**
    * @param retry Number of the retry, from 1.
-   * @param hint Shortest pause that the refusal asked for; zero without one.
+   * @param hint Shortest pause that the refusal asked for; zero if it gave none.
    * @param remaining Time until the deadline.
    * @param needed Time that the attempt itself is expected to take.
-   * @return The pause; nothing if the attempt would not fit into the remaining time after it.
+   * @return The pause; nothing if the attempt would not finish in the time that remains after it.
    */
   std::optional<base::Duration> Pause(std::uint32_t retry, base::Duration hint,
                                       base::Duration remaining, base::Duration needed) const;
--- a/libraries/retry/join_table.cc
+++ b/libraries/retry/join_table.cc
@@ -17,7 +17,7 @@
   }
   Group& group = found->second;
   if (group.lead == waiter || std::ranges::count(group.waiters, waiter) > 0) {
-    throw RetryError("the request is already part of the group");
+    throw RetryError("the request has already joined or leads this lookup");
   }
   if (group.waiters.size() >= max_waiters_) {
     return JoinVerdict::kAlone;
@@ -29,7 +29,7 @@
 std::vector<WaiterId> JoinTable::Complete(const JoinKey& key, WaiterId lead) {
   const auto found = groups_.find(key);
   if (found == groups_.end() || found->second.lead != lead) {
-    throw RetryError("the request does not run");
+    throw RetryError("the request does not lead a running lookup with this key");
   }
   std::vector<WaiterId> waiters = std::move(found->second.waiters);
   groups_.erase(found);
--- a/libraries/retry/join_table.h
+++ b/libraries/retry/join_table.h
@@ -12,12 +12,12 @@
 
 namespace borageloft::retry {
 
-/** Names one caller's request at this node. */
+/** Identifies one caller's request at this node. */
 enum class WaiterId : std::uint64_t {};
 
 /**
- * What makes two lookups the same. The whole values are compared, not their hashes: a collision
- * would give a caller the answer to another request.
+ * Key under which lookups count as the same. The values are compared, not hashes of them, since a
+ * hash collision would give a caller the answer to another request.
  */
 struct JoinKey {
   std::string service;
@@ -30,19 +30,19 @@
   }
 };
 
-/** What becomes of a request that is offered to the table. */
+/** Result of offering a request to the table. */
 enum class JoinVerdict {
-  kLead,    ///< No such request runs: this one is to be sent, and Complete() called at its end.
-  kJoined,  ///< The same request runs: this one gets its answer.
-  kAlone,   ///< The table or the group is full: this one is to be sent without joining.
+  kLead,    ///< None runs with this key: send this one and call Complete() when it ends.
+  kJoined,  ///< The same request runs: wait for its answer.
+  kAlone,   ///< The table or the group is full: send this one on its own.
 };
 
-/** Joins lookups to the same lookup that is already running. Not thread-safe. */
+/** Coalesces identical lookups: later ones wait for the one that runs. Not thread-safe. */
 class JoinTable {
  public:
   /**
-   * @param max_groups Bound of running requests that can be joined.
-   * @param max_waiters Bound of requests that join one.
+   * @param max_groups Most running requests that can be joined.
+   * @param max_waiters Most requests that can join one of them.
    */
   JoinTable(std::size_t max_groups, std::size_t max_waiters)
       : max_groups_(max_groups), max_waiters_(max_waiters) {}
@@ -51,15 +51,15 @@
   JoinVerdict Join(const JoinKey& key, WaiterId waiter);
 
   /**
-   * Ends the running request.
-   * @return The requests that joined it; each gets a copy of the whole answer.
-   * @throws RetryError if @p lead does not run @p key.
+   * Ends the group of a running request.
+   * @return The requests that joined it; the owner gives each a copy of the whole answer.
+   * @throws RetryError if @p lead does not lead the group of @p key.
    */
   std::vector<WaiterId> Complete(const JoinKey& key, WaiterId lead);
 
   /**
-   * Removes a request that joined and whose caller gave up.
-   * @return Whether it was waiting. The running request itself cannot leave, others rely on it.
+   * Removes a request that joined and whose caller stopped waiting.
+   * @return Whether it was waiting. The running request cannot leave, since others wait for it.
    */
   bool Leave(const JoinKey& key, WaiterId waiter);
 
--- a/libraries/retry/retry.h
+++ b/libraries/retry/retry.h
@@ -1,7 +1,7 @@
 #ifndef BORAGELOFT_RETRY_RETRY_H_
 #define BORAGELOFT_RETRY_RETRY_H_
 
-/** @file Public header of the retry library: which failed attempts are made again, and when. */
+/** @file Public header of the retry library: which failed attempts are retried, and when. */
 
 #include "libraries/retry/attempt_limiter.h"
 #include "libraries/retry/backoff_policy.h"
--- a/libraries/retry/retry_allowance.cc
+++ b/libraries/retry/retry_allowance.cc
@@ -26,22 +26,22 @@
 }
 
 std::uint32_t RetryAllowance::PartForNextOf(std::uint32_t children) const {
-  // Rounded up, so that an allowance of 1 reaches the calls instead of staying unused at this hop.
+  // Rounded up, so that an allowance of 1 goes to a child call instead of staying unused here.
   return children <= 1 ? unspent_ : (unspent_ + children - 1) / children;
 }
 
 bool RetryAllowance::SettleAnswered(LoanId id, std::uint32_t unspent) {
-  const std::uint32_t amount = TakeLoan(id);
-  const bool is_possible = unspent <= amount;
-  const std::uint32_t returned = is_possible ? unspent : 0;
+  const std::uint32_t amount = CloseLoan(id);
+  const bool is_valid = unspent <= amount;
+  const std::uint32_t returned = is_valid ? unspent : 0;
   unspent_ += returned;
   spent_ += amount - returned;
   CheckBalance();
-  return is_possible;
+  return is_valid;
 }
 
 void RetryAllowance::SettleLost(LoanId id) {
-  spent_ += TakeLoan(id);
+  spent_ += CloseLoan(id);
   CheckBalance();
 }
 
@@ -53,10 +53,10 @@
   return std::exchange(unspent_, 0);
 }
 
-std::uint32_t RetryAllowance::TakeLoan(LoanId id) {
+std::uint32_t RetryAllowance::CloseLoan(LoanId id) {
   const auto found = loans_.find(id);
   if (found == loans_.end()) {
-    throw RetryError("the loan is not open");
+    throw RetryError("no loan with this id is open");
   }
   const std::uint32_t amount = found->second;
   loans_.erase(found);
--- a/libraries/retry/retry_budget.cc
+++ b/libraries/retry/retry_budget.cc
@@ -8,7 +8,7 @@
 
 RetryBudget::RetryBudget(double share, std::uint32_t reserve) : share_(share), reserve_(reserve) {
   if (!(share >= 0 && share <= 1)) {
-    throw RetryError("the retry budget must be within 0 and 1");
+    throw RetryError("the share of the retry budget must be between 0 and 1");
   }
 }
 
--- a/libraries/retry/retry_budget.h
+++ b/libraries/retry/retry_budget.h
@@ -9,19 +9,19 @@
 namespace borageloft::retry {
 
 /**
- * Bounds the retries of one node towards one service to a share of the first attempts that
- * succeeded lately. When nothing succeeds there is nothing to retry with, so a service that is down
- * gets no added load. Not thread-safe.
+ * Limits the retries of one node to one service to a share of the first attempts that succeeded in
+ * a sliding window. Without successes only the reserve is left, so that a service that is down gets
+ * almost no added load. Not thread-safe.
  */
 class RetryBudget {
  public:
-  /** Seconds of history that count. */
+  /** Length of the sliding window, in seconds. */
   static constexpr std::size_t kWindowSeconds = 10;
 
   /**
    * @param share Retries per successful first attempt, 0 to 1.
-   * @param reserve Retries in a window that need no successes, so that a rarely called service can
-   *     be retried at all.
+   * @param reserve Retries per window that need no successes, so that calls to a rarely called
+   *     service can be retried at all.
    * @throws RetryError if the share is out of range.
    */
   explicit RetryBudget(double share, std::uint32_t reserve = 1);
--- a/libraries/retry/retry_error.h
+++ b/libraries/retry/retry_error.h
@@ -7,10 +7,10 @@
 
 namespace borageloft::retry {
 
-/** Thrown for settings out of range and for loans or joined requests that are not known. */
+/** Thrown for settings out of range, and for loans or requests in a state that forbids the call. */
 class RetryError : public base::Error {
  public:
-  /** @param message What was out of range or unknown. */
+  /** @param message What is out of range, unknown or already present. */
   explicit RetryError(const std::string& message) : base::Error(message) {}
 };
 
--- a/libraries/retry/retry_policy.cc
+++ b/libraries/retry/retry_policy.cc
@@ -39,7 +39,7 @@
     decision.verdict = RetryVerdict::kDeadline;
     return decision;
   }
-  decision.verdict = Take(allowance, budget, now);
+  decision.verdict = TakeRetry(allowance, budget, now);
   decision.pause = *pause;
   decision.placement = failed.has_zone_failed ? Placement::kOtherZone : Placement::kOtherUpstream;
   return decision;
@@ -54,7 +54,7 @@
   if (is_service_shedding) {
     return RetryVerdict::kServiceSheds;
   }
-  return Take(allowance, budget, now);
+  return TakeRetry(allowance, budget, now);
 }
 
 RetryVerdict RetryPolicy::CheckSafety(const FailedAttempt& failed) {
@@ -73,8 +73,8 @@
   return RetryVerdict::kRetry;
 }
 
-RetryVerdict RetryPolicy::Take(RetryAllowance& allowance, RetryBudget& budget,
-                               base::TimePoint now) {
+RetryVerdict RetryPolicy::TakeRetry(RetryAllowance& allowance, RetryBudget& budget,
+                                    base::TimePoint now) {
   if (allowance.unspent() == 0) {
     return RetryVerdict::kAllowance;
   }
--- a/tests/retry/retry_test.cc
+++ b/tests/retry/retry_test.cc
@@ -12,8 +12,8 @@
 
 constexpr base::TimePoint kStart{seconds(1000)};
 
-// Guards against retries that multiply along the hops of a deep call tree, also when answers are
-// lost or report more than was lent.
+// Guards against retries that multiply at each hop of a deep call tree, also when answers are lost
+// or report more than was lent.
 TEST(RetryAllowanceTest, RandomCallTreesStayWithinTheAllowance) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     const base::Random random = base::SeededRandom(seed);
@@ -47,7 +47,7 @@
   }
 }
 
-// Guards against a settled loan that gives attempts back twice.
+// Guards against a loan that is settled twice and returns its extra attempts twice.
 TEST(RetryAllowanceTest, LoanSettlesOnce) {
   RetryAllowance allowance(3);
   const AllowanceLoan loan = allowance.Lend(2);
@@ -75,7 +75,7 @@
   EXPECT_FALSE(budget.TryTake(kStart + seconds(60)));
 }
 
-// Guards against a retry that cannot end before the deadline, and against pauses without jitter.
+// Guards against a retry that cannot finish before the deadline, and against pauses without jitter.
 TEST(BackoffPolicyTest, JittersWithinTheDeadline) {
   const BackoffPolicy backoff(milliseconds(10), milliseconds(80), base::SeededRandom(1));
   base::Duration shortest = seconds(1);
@@ -95,7 +95,7 @@
 
 class RetryPolicyTest : public ::testing::Test {
  protected:
-  static FailedAttempt Broken() {
+  static FailedAttempt ConnectionLost() {
     FailedAttempt failed;
     failed.failure = Failure::kConnectionLost;
     failed.is_idempotent = true;
@@ -115,7 +115,7 @@
 
 // Guards against a second execution of a request that is not idempotent.
 TEST_F(RetryPolicyTest, NeverRepeatsWhatMayHaveRun) {
-  FailedAttempt failed = Broken();
+  FailedAttempt failed = ConnectionLost();
   failed.is_idempotent = false;
   EXPECT_EQ(Decide(failed), RetryVerdict::kMayHaveReached);
   EXPECT_EQ(policy_.DecideHedge(false, false, allowance_, budget_, kStart),
@@ -124,23 +124,23 @@
   EXPECT_EQ(Decide(failed), RetryVerdict::kRetry);
 }
 
-// Guards against retries that feed an overload or multiply at each hop.
+// Guards against retries that add to an overload, multiply at each hop or cannot succeed.
 TEST_F(RetryPolicyTest, NamesEachReasonNotToRetry) {
-  FailedAttempt failed = Broken();
+  FailedAttempt failed = ConnectionLost();
   failed.is_next_to_failure = false;
   EXPECT_EQ(Decide(failed), RetryVerdict::kNotNextHop);
-  failed = Broken();
+  failed = ConnectionLost();
   failed.failure = Failure::kOverload;
   EXPECT_EQ(Decide(failed), RetryVerdict::kServiceSheds);
-  failed = Broken();
+  failed = ConnectionLost();
   failed.is_service_shedding = true;
   EXPECT_EQ(Decide(failed), RetryVerdict::kServiceSheds);
   EXPECT_EQ(policy_.DecideHedge(true, true, allowance_, budget_, kStart),
             RetryVerdict::kServiceSheds);
-  failed = Broken();
+  failed = ConnectionLost();
   failed.remaining = milliseconds(9);
   EXPECT_EQ(Decide(failed), RetryVerdict::kDeadline);
-  failed = Broken();
+  failed = ConnectionLost();
   failed.failure = Failure::kRejected;
   EXPECT_EQ(Decide(failed), RetryVerdict::kRejected);
   EXPECT_EQ(allowance_.unspent(), 2U);
@@ -150,19 +150,22 @@
 // Guards against an allowance or a budget that is spent without the other.
 TEST_F(RetryPolicyTest, TakesFromAllowanceAndBudgetTogether) {
   RetryBudget empty(0.1, 0);
-  EXPECT_EQ(policy_.Decide(Broken(), allowance_, empty, kStart).verdict, RetryVerdict::kBudget);
+  EXPECT_EQ(policy_.Decide(ConnectionLost(), allowance_, empty, kStart).verdict,
+            RetryVerdict::kBudget);
   EXPECT_EQ(allowance_.unspent(), 2U);
   RetryAllowance none(0);
-  EXPECT_EQ(policy_.Decide(Broken(), none, budget_, kStart).verdict, RetryVerdict::kAllowance);
+  EXPECT_EQ(policy_.Decide(ConnectionLost(), none, budget_, kStart).verdict,
+            RetryVerdict::kAllowance);
   EXPECT_EQ(budget_.taken(kStart), 0U);
-  FailedAttempt failed = Broken();
+  FailedAttempt failed = ConnectionLost();
   failed.has_zone_failed = true;
   EXPECT_EQ(policy_.Decide(failed, allowance_, budget_, kStart).placement, Placement::kOtherZone);
   EXPECT_EQ(allowance_.unspent(), 1U);
   EXPECT_EQ(budget_.taken(kStart), 1U);
 }
 
-// Guards against an answer that goes to a request of other content, and against lost waiters.
+// Guards against a request that gets the answer to a request with other content, and against
+// waiters that are lost.
 TEST(JoinTableTest, JoinsOnlyTheSameRequest) {
   JoinTable table(2, 1);
   const JoinKey key{"archivo", "root", "a"};
@@ -180,7 +183,7 @@
   EXPECT_TRUE(table.Complete(key, WaiterId{6}).empty());
 }
 
-// Guards against a caller that retries hard pushing out first attempts, its own included.
+// Guards against a caller whose repeats displace first attempts, its own included.
 TEST(AttemptLimiterTest, RefusesRepeatsButNeverFirstAttempts) {
   AttemptLimiter limiter(AttemptLimits{});
   int repeats = 0;
@@ -197,7 +200,7 @@
   EXPECT_EQ(limiter.Offer(1, 98, kStart + seconds(11)).verdict, AttemptVerdict::kFirst);
 }
 
-// Guards against memory that grows with the number of callers.
+// Guards against memory use that grows with the number of callers.
 TEST(AttemptLimiterTest, ForgetsTheLeastRecentCaller) {
   AttemptLimits limits;
   limits.max_callers = 2;
