--- a/libraries/mesh/control_node.cc
+++ b/libraries/mesh/control_node.cc
@@ -17,13 +17,14 @@
 constexpr unsigned kPreconditionFailed = 412;
 constexpr unsigned kServiceUnavailable = 503;
 
-// Nodes renew their record at every control host within 1.5 s; three of those may be lost.
+// Each node renews its record at every control host within 1.5 s; the lifetime of three such
+// periods tolerates lost renewals.
 constexpr std::chrono::milliseconds kRecordLifetime{4500};
 constexpr std::chrono::milliseconds kCheckInterval{100};
-constexpr std::chrono::milliseconds kLongestStop{1500};
-constexpr std::size_t kDeclarationBytes = std::size_t{4} << 20U;
+constexpr std::chrono::milliseconds kMaximumStopTime{1500};
+constexpr std::size_t kMaximumDeclarationBytes = std::size_t{4} << 20U;
 
-std::uint64_t DrawEpoch() {
+std::uint64_t RandomEpoch() {
   std::random_device device;
   return (static_cast<std::uint64_t>(device()) << 32U) | (device() & 0xfffffff0U);
 }
@@ -35,8 +36,8 @@
       dialect_(std::move(dialect)),
       node_(NodeNameOf(loop.settings())),
       file_system_(storage::PosixFileSystem()),
-      folder_(file_system_, loop.settings().data_folder),
-      registry_(DrawEpoch(), kRecordLifetime, clock_()) {
+      data_folder_(file_system_, loop.settings().data_folder),
+      registry_(RandomEpoch(), kRecordLifetime, clock_()) {
   const MeshSettings& settings = loop_.settings();
   transport::TransportHooks hooks;
   hooks.handle_request = [](const std::string&, transport::InboundRequestId, const wire::Request&,
@@ -62,27 +63,27 @@
   options.tolerated_losses = settings.tolerated_losses;
   control_member::MemberHooks member_hooks;
   member_hooks.clock = clock_;
-  member_hooks.random = base::SeededRandom(DrawEpoch());
+  member_hooks.random = base::SeededRandom(RandomEpoch());
   member_hooks.send = [this](const std::string& address, std::string bytes) {
-    peers_->SendControl(PeerOf(address), wire::Channel::kReplication, std::move(bytes));
+    peers_->SendControl(PeerAddressOf(address), wire::Channel::kReplication, std::move(bytes));
   };
   member_hooks.on_declaration = [] {};
   member_ = std::make_unique<control_member::Member>(std::move(options), std::move(member_hooks),
-                                                     folder_, loop_.timers());
+                                                     data_folder_, loop_.timers());
   peers_->Listen(settings.peers);
   http_stream::ServerLimits limits;
-  limits.message.body_bytes = kDeclarationBytes;
-  calls_ = std::make_unique<http_stream::Server>(
+  limits.message.body_bytes = kMaximumDeclarationBytes;
+  call_server_ = std::make_unique<http_stream::Server>(
       loop_.context(), limits,
       [this](const http_stream::RequestMessage& message, base::TimePoint,
              const http_stream::Exchange& exchange) { HandleCall(message, exchange); });
-  calls_->Listen(settings.calls);
+  call_server_->Listen(settings.calls);
   if (settings.metrics) {
-    metrics_ = std::make_unique<http_stream::Server>(
+    metrics_server_ = std::make_unique<http_stream::Server>(
         loop_.context(), limits,
         [this](const http_stream::RequestMessage&, base::TimePoint,
                const http_stream::Exchange& exchange) { RespondMetrics(exchange); });
-    metrics_->Listen(*settings.metrics);
+    metrics_server_->Listen(*settings.metrics);
   }
   member_->Start();
   loop_.timers().SubscribeEvery(kCheckInterval, [this](base::TimePoint now) {
@@ -126,7 +127,7 @@
   }
   answer.control_hosts = member_->ControlHosts();
   registry_.FillAnswer(request, answer);
-  peers_->SendControl(PeerOf(from), wire::Channel::kMembership, directory::Encode(answer));
+  peers_->SendControl(PeerAddressOf(from), wire::Channel::kMembership, directory::Encode(answer));
 }
 
 void ControlNode::HandleCall(const http_stream::RequestMessage& message,
@@ -210,7 +211,7 @@
   }
   http_stream::ResponseMessage response;
   response.status = kTemporaryRedirect;
-  // Every control host answers calls at the same port.
+  // All control hosts serve calls on the same port.
   const settings::Endpoint calls{endpoint->address, loop_.settings().calls.port};
   response.fields.push_back({"Location", "http://" + settings::FormatEndpoint(calls) + target});
   exchange.Respond(std::move(response));
@@ -236,7 +237,7 @@
   is_draining_ = true;
   draining_since_ = clock_();
   base::Log(base::LogLevel::kInfo, "control_draining");
-  calls_->BeginDrain();
+  call_server_->BeginDrain();
   member_->Shutdown([this] { is_stopped_ = true; });
 }
 
@@ -245,7 +246,7 @@
     return;
   }
   const base::Duration since = clock_() - draining_since_;
-  if ((is_stopped_ && calls_->exchanges_in_progress() == 0) || since >= kLongestStop) {
+  if ((is_stopped_ && call_server_->exchanges_in_progress() == 0) || since >= kMaximumStopTime) {
     base::Log(base::LogLevel::kInfo, "control_stopped");
     loop_.Stop();
   }
--- a/libraries/mesh/control_node.h
+++ b/libraries/mesh/control_node.h
@@ -11,22 +11,24 @@
 namespace borageloft::mesh {
 
 /**
- * The process on a control host: a member of the group that keeps the declaration, and a registry
- * of the nodes. Wires the libraries together and decides nothing itself.
+ * The process on a control host: a member of the replicated group that stores the declaration, and
+ * the registry of the nodes. Connects the libraries and contains no policy of its own. Runs on the
+ * thread of its event loop; not thread-safe.
  */
 class ControlNode {
  public:
-  /** Begins to listen. @throws base::Error if an address or the storage cannot be used. */
+  /** Opens the storage and starts listening. @throws base::Error if an address or the storage is
+   * unusable. */
   ControlNode(NodeLoop& loop, Dialect dialect);
   ~ControlNode();
 
   ControlNode(const ControlNode&) = delete;
   ControlNode& operator=(const ControlNode&) = delete;
 
-  /** Hands leadership over, finishes what it has and ends the loop. */
+  /** Transfers leadership, finishes the exchanges in progress and stops the event loop. */
   void BeginDrain();
 
-  /** Takes settings that were read again. */
+  /** Applies the seeds of reloaded settings; other changes need a restart. */
   void HandleSettings(const MeshSettings& settings);
 
  private:
@@ -47,12 +49,12 @@
   const std::string node_;
   base::Clock clock_ = base::SystemClock();
   const storage::FileSystem file_system_;
-  storage::DataFolder folder_;
+  storage::DataFolder data_folder_;
   directory::Registry registry_;
   std::unique_ptr<transport::PeerTransport> peers_;
   std::unique_ptr<control_member::Member> member_;
-  std::unique_ptr<http_stream::Server> calls_;
-  std::unique_ptr<http_stream::Server> metrics_;
+  std::unique_ptr<http_stream::Server> call_server_;
+  std::unique_ptr<http_stream::Server> metrics_server_;
   bool is_draining_ = false;
   bool is_stopped_ = false;
   base::TimePoint draining_since_{};
--- a/libraries/mesh/dialect.h
+++ b/libraries/mesh/dialect.h
@@ -12,50 +12,50 @@
 
 namespace borageloft::mesh {
 
-/** Asks whether the node takes requests. */
+/** Readiness check: whether the node accepts requests. */
 struct ReadinessCall {};
 
-/** An instance says that it lives. */
+/** Heartbeat of an instance. */
 struct HeartbeatCall {
   directory::Heartbeat heartbeat;
 };
 
-/** An instance says that it leaves and will not be heard again. */
+/** An instance announces that it is leaving and will send no further heartbeats. */
 struct LeaveCall {
   std::string instance;
 };
 
-/** An operator replaces the declaration. */
+/** An operator's request to replace the declaration. */
 struct ReplaceCall {
   declaration::ReplaceCommand command;
   declaration::Declaration declaration;
 };
 
-/** An operator reads the newest declaration. */
+/** An operator's request to read the newest declaration. */
 struct ReadCall {};
 
-/** A call that cannot be carried out as it was sent. */
+/** A call that is rejected, with the HTTP status and the reason to answer with. */
 struct RefusedCall {
   unsigned status = 0;
   std::string reason;
 };
 
-/** Any call to a node's own interfaces. */
+/** Any call to a node's own interfaces, as opposed to a request for an upstream. */
 using NodeCall =
     std::variant<ReadinessCall, HeartbeatCall, LeaveCall, ReplaceCall, ReadCall, RefusedCall>;
 
-/** How a deployment speaks: names and formats, without any decision. */
+/** Protocol adapter of a deployment: header names, formats and decoders, without any policy. */
 struct Dialect {
   request_path::HeaderNames headers;
-  /** Content type of bodies that the node itself writes. */
+  /** Content type of the bodies that the node itself generates. */
   std::string content_type;
   /** Body that acknowledges a call. */
   std::string acknowledgement;
-  /** Reads a call to a node's own interfaces. */
+  /** Decodes a call to a node's own interfaces. */
   std::function<NodeCall(const http_stream::RequestMessage& message)> decode_call;
   /**
-   * Reads a declaration that was accepted before.
-   * @throws declaration::DeclarationError if it cannot be read.
+   * Decodes the text of an accepted declaration.
+   * @throws declaration::DeclarationError if the text is malformed.
    */
   std::function<declaration::Declaration(const std::string& text)> decode_declaration;
 };
--- a/libraries/mesh/directory_sync.cc
+++ b/libraries/mesh/directory_sync.cc
@@ -18,70 +18,71 @@
   }
   record_ = record;
   for (const std::string& host : hosts_) {
-    AskHost(host);
+    SendSyncRequest(host);
   }
 }
 
-void DirectorySync::Ask() {
+void DirectorySync::Poll() {
   const base::TimePoint now = hooks_.clock();
-  for (auto host = answered_at_.begin(); host != answered_at_.end();) {
-    if (now - host->second < kForgetAfter) {
+  for (auto host = last_answers_.begin(); host != last_answers_.end();) {
+    if (now - host->second < kHostExpiry) {
       ++host;
       continue;
     }
     base::Log(base::LogLevel::kWarning, "control_host_lost", {{"host", host->first}});
     const bool has_changed = view_.Forget(host->first);
-    host = answered_at_.erase(host);
+    host = last_answers_.erase(host);
     if (has_changed) {
       hooks_.on_records();
     }
   }
-  if (!has_heard_current_) {
+  if (!has_current_answer_) {
     for (const std::string& host : hosts_) {
-      AskHost(host);
+      SendSyncRequest(host);
     }
     return;
   }
-  // A host that did not answer is passed over for a round or two, but never all of them.
+  // A host that did not answer the last requests is skipped in most rounds. If every host would be
+  // skipped, the last one is polled.
   for (std::size_t round = 0; round < hosts_.size(); ++round) {
-    auto next = hosts_.upper_bound(last_asked_);
+    auto next = hosts_.upper_bound(last_polled_);
     if (next == hosts_.end()) {
       next = hosts_.begin();
     }
-    last_asked_ = *next;
-    unsigned& unanswered = unanswered_[last_asked_];
-    const bool is_skipped = unanswered > 1 && unanswered % (kSkippedRounds + 1) != 0;
+    last_polled_ = *next;
+    unsigned& unanswered = unanswered_requests_[last_polled_];
+    const bool is_skipped = unanswered > 1 && unanswered % (kSkippedRoundsPerPoll + 1) != 0;
     if (!is_skipped || round + 1 == hosts_.size()) {
-      AskHost(last_asked_);
+      SendSyncRequest(last_polled_);
       return;
     }
     ++unanswered;
   }
 }
 
-void DirectorySync::AskHost(const std::string& host) {
+void DirectorySync::SendSyncRequest(const std::string& host) {
   const directory::DirectoryView::Position position = view_.PositionAt(host);
   directory::SyncRequest request;
   request.record = record_;
   request.known_version = version_;
   request.registry_epoch = position.epoch;
   request.registry_revision = position.revision;
-  ++unanswered_[host];
+  ++unanswered_requests_[host];
   hooks_.send(host, directory::Encode(request));
 }
 
 void DirectorySync::Receive(const std::string& from, const directory::SyncAnswer& answer) {
-  unanswered_[from] = 0;
-  if (!answered_at_.contains(from)) {
+  unanswered_requests_[from] = 0;
+  if (!last_answers_.contains(from)) {
     base::Log(base::LogLevel::kInfo, "control_host_found", {{"host", from}});
   }
-  answered_at_[from] = hooks_.clock();
+  last_answers_[from] = hooks_.clock();
   if (answer.is_current) {
-    has_heard_current_ = true;
+    has_current_answer_ = true;
     UpdateHosts(answer.control_hosts);
   }
-  // A control host without contact to the leader may be behind; what it has is taken only as an
-  // advance over a declaration that is known already.
+  // A control host without contact to the leader may be stale. Its declaration is accepted only if
+  // it is newer than one that this node holds already.
   const bool is_trusted = answer.is_current || version_ > 0;
   if (is_trusted && answer.version > version_ && !answer.declaration.empty()) {
     version_ = answer.version;
@@ -98,6 +99,6 @@
   hosts_ = std::move(updated);
 }
 
-std::size_t DirectorySync::reachable_hosts() const { return answered_at_.size(); }
+std::size_t DirectorySync::reachable_hosts() const { return last_answers_.size(); }
 
 }  // namespace borageloft::mesh
--- a/libraries/mesh/instance_probe.cc
+++ b/libraries/mesh/instance_probe.cc
@@ -8,21 +8,22 @@
 namespace {
 
 constexpr unsigned kOk = 200;
-// Time after the start in which heartbeats make the probe unnecessary at the latest: two intervals.
-constexpr std::chrono::seconds kProbeSpan{3};
-// Pause between probes, which take a slot of the upstream each.
+// Time after the start during which probes are sent. After two heartbeat intervals the upstream has
+// announced itself, and a probe is unnecessary.
+constexpr std::chrono::seconds kProbePeriod{3};
+// Minimum time between two probes, because each probe takes a slot of the upstream.
 constexpr std::chrono::milliseconds kProbeInterval{300};
-// Slots assumed of an upstream that does not tell its load, until its heartbeat states them.
-constexpr std::uint32_t kAssumedSlots = 8;
+// Slots assumed for an upstream that does not report its load, until its first heartbeat.
+constexpr std::uint32_t kDefaultSlots = 8;
 
-/** Slots in a load report of the form "running,waiting,slots". */
-std::uint32_t SlotsOf(const std::string* report) {
+/** Parses the slots of a load report of the form "running,waiting,slots"; @p report may be null. */
+std::uint32_t ParseSlots(const std::string* report) {
   std::uint32_t slots = 0;
-  const auto place = report == nullptr ? std::string::npos : report->rfind(',');
-  if (place != std::string::npos) {
-    std::from_chars(report->data() + place + 1, report->data() + report->size(), slots);
+  const auto separator = report == nullptr ? std::string::npos : report->rfind(',');
+  if (separator != std::string::npos) {
+    std::from_chars(report->data() + separator + 1, report->data() + report->size(), slots);
   }
-  return slots == 0 ? kAssumedSlots : slots;
+  return slots == 0 ? kDefaultSlots : slots;
 }
 
 }  // namespace
@@ -33,19 +34,19 @@
     : instance_(instance), names_(names), hooks_(std::move(hooks)), start_(start) {}
 
 void InstanceProbe::Check(const std::string& path, base::TimePoint now) {
-  if (path.empty() || names_.instance.empty() || instance_.has_been_heard() || is_asking_ ||
-      now < next_ || now - start_ > kProbeSpan) {
+  if (path.empty() || names_.instance.empty() || instance_.has_been_heard() || is_probing_ ||
+      now < next_probe_ || now - start_ > kProbePeriod) {
     return;
   }
-  is_asking_ = true;
-  next_ = now + kProbeInterval;
-  hooks_.ask(
+  is_probing_ = true;
+  next_probe_ = now + kProbeInterval;
+  hooks_.send_probe(
       path, [this, now](const http_stream::ResponseMessage& answer) { HandleAnswer(answer, now); });
 }
 
 void InstanceProbe::HandleAnswer(const http_stream::ResponseMessage& answer,
-                                 base::TimePoint asked) {
-  is_asking_ = false;
+                                 base::TimePoint probed_at) {
+  is_probing_ = false;
   const std::string* id = http_stream::FindField(answer.fields, names_.instance);
   const bool is_healthy = answer.status == kOk && id != nullptr && !id->empty();
   base::Log(base::LogLevel::kInfo, "instance_probed",
@@ -53,8 +54,9 @@
   if (!is_healthy) {
     return;
   }
-  const std::uint32_t slots = SlotsOf(http_stream::FindField(answer.fields, names_.upstream_load));
-  if (instance_.Adopt(*id, slots, asked)) {
+  const std::uint32_t slots =
+      ParseSlots(http_stream::FindField(answer.fields, names_.upstream_load));
+  if (instance_.Adopt(*id, slots, probed_at)) {
     hooks_.on_found();
   }
 }
--- a/libraries/mesh/instance_probe.h
+++ b/libraries/mesh/instance_probe.h
@@ -10,42 +10,43 @@
 
 namespace borageloft::mesh {
 
-/** Everything of a probe that varies between production and tests. */
+/** Hooks of an InstanceProbe. */
 struct InstanceProbeHooks {
-  /** Receives the upstream's answer, with status 0 if there was none. */
+  /** Receives the upstream's response, or status 0 if there was none. */
   using AnswerHandler = std::function<void(const http_stream::ResponseMessage& answer)>;
-  /** Asks the upstream on this host how it is. */
-  std::function<void(const std::string& path, AnswerHandler handler)> ask;
-  /** Called after the instance was taken as known. */
+  /** Sends a health check to the upstream on this host. */
+  std::function<void(const std::string& path, AnswerHandler handler)> send_probe;
+  /** Called after an instance was adopted. */
   std::function<void()> on_found;
 };
 
 /**
- * Asks the upstream on this host who it is after a start of the node alone. Without it the upstream
- * would get no work until its next heartbeat. Only a healthy upstream that is not leaving says so;
- * any other answer leaves the matter to the heartbeats. Not thread-safe.
+ * Finds out which instance runs on this host after the node was restarted without its upstream.
+ * Without the probe the upstream would get no work until its next heartbeat. Only a healthy
+ * upstream that is not leaving names its instance with status 200; any other response is ignored,
+ * and the instance is learned from its heartbeats. Not thread-safe.
  */
 class InstanceProbe {
  public:
-  /** @param start When the process started. */
+  /** @param start Time at which the node's process started. */
   InstanceProbe(directory::LocalInstance& instance, const request_path::HeaderNames& names,
                 InstanceProbeHooks hooks, base::TimePoint start);
 
   /**
-   * Asks if the instance is still unknown and the node has started lately.
-   * @param path Where the upstream tells its health; empty if it does not.
+   * Sends a probe if no instance is known yet and the node started recently.
+   * @param path Health check path of the upstream; empty if it has none.
    */
   void Check(const std::string& path, base::TimePoint now);
 
  private:
-  void HandleAnswer(const http_stream::ResponseMessage& answer, base::TimePoint asked);
+  void HandleAnswer(const http_stream::ResponseMessage& answer, base::TimePoint probed_at);
 
   directory::LocalInstance& instance_;
   request_path::HeaderNames names_;
   InstanceProbeHooks hooks_;
   base::TimePoint start_;
-  base::TimePoint next_{};
-  bool is_asking_ = false;
+  base::TimePoint next_probe_{};
+  bool is_probing_ = false;
 };
 
 }  // namespace borageloft::mesh
--- a/libraries/mesh/mesh.h
+++ b/libraries/mesh/mesh.h
@@ -1,7 +1,8 @@
 #ifndef BORAGELOFT_MESH_MESH_H_
 #define BORAGELOFT_MESH_MESH_H_
 
-/** @file Public header of the mesh library: the processes of an event-driven deployment. */
+/** @file Public header of the mesh library: the node and control host processes, each driven by one
+ * event loop. */
 
 #include "libraries/mesh/control_node.h"
 #include "libraries/mesh/dialect.h"
--- a/libraries/mesh/mesh_node.cc
+++ b/libraries/mesh/mesh_node.cc
@@ -16,29 +16,30 @@
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kServiceUnavailable = 503;
 
-// Heartbeats that may be missed before an instance counts as gone.
+// Heartbeat intervals without a heartbeat after which an instance is considered gone.
 constexpr int kMissedHeartbeats = 3;
 constexpr std::chrono::milliseconds kCheckInterval{100};
-// A node that leaves a heartbeat unanswered for this long gets no new requests meanwhile: several
-// round trips between zones, and the pause of a processor that has used up its share.
-constexpr std::chrono::milliseconds kSilenceSuspect{200};
-// Time for which a draining node goes on although it has nothing to do: callers are sent elsewhere
-// after two failed readiness checks a second apart.
-constexpr std::chrono::milliseconds kShortestDrain{2800};
-// Part of a drain in which the own upstream still takes work from other nodes. What is left until
-// the shortest drain ends suffices for word of the withdrawal to spread and for the work begun.
-constexpr std::chrono::milliseconds kServingDrain{1300};
-// Nodes that have not heard of the withdrawal by then are refused and turn to other instances.
-constexpr std::chrono::milliseconds kTakingDrain{2000};
-// Requests without any call after which an upstream counts as one that makes none.
-constexpr std::uint64_t kRunsWithoutCalls = 100;
-// Time for an upstream to tell its health.
-constexpr std::chrono::milliseconds kHealthTimeout{1000};
-// Part of the drain time that is kept for ending.
+// A peer that leaves a transport heartbeat unanswered for this long gets no new requests until it
+// answers. Covers several round trips between zones and the pause of a process that has used up its
+// CPU quota.
+constexpr std::chrono::milliseconds kPeerSuspectTimeout{200};
+// Time for which a draining node keeps running even if it is idle: callers are sent elsewhere only
+// after two failed readiness checks, which are 1 s apart.
+constexpr std::chrono::milliseconds kMinimumDrainTime{2800};
+// Time after the start of a drain at which the record of the local upstream changes to leaving. The
+// rest of the minimum drain time suffices to propagate the change and to finish the work begun.
+constexpr std::chrono::milliseconds kWithdrawalDelay{1300};
+// Time after the start of a drain at which the gate closes. Nodes that have not learned of the
+// withdrawal by then are refused and choose other instances.
+constexpr std::chrono::milliseconds kGateCloseDelay{2000};
+// Requests run without an outgoing call after which an upstream is assumed to make no calls.
+constexpr std::uint64_t kRequestsToAssumeNoCalls = 100;
+constexpr std::chrono::milliseconds kHealthCheckTimeout{1000};
+// Part of the drain time that is reserved for the shutdown of the process.
 constexpr std::chrono::milliseconds kDrainMargin{500};
-constexpr std::size_t kCallBodyBytes = 64 * 1024;
+constexpr std::size_t kMaximumCallBodyBytes = 64 * 1024;
 
-std::uint64_t EpochNow() {
+std::uint64_t UnixMillisecondsNow() {
   return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
                                         base::SystemWallClock()().time_since_epoch())
                                         .count());
@@ -57,8 +58,8 @@
   return response;
 }
 
-http_stream::ResponseMessage Plain(unsigned status, std::string body,
-                                   const std::string& content_type) {
+http_stream::ResponseMessage MakeResponse(unsigned status, std::string body,
+                                          const std::string& content_type) {
   http_stream::ResponseMessage response;
   response.status = status;
   response.body = std::move(body);
@@ -72,7 +73,7 @@
     : loop_(loop),
       dialect_(std::move(dialect)),
       node_(NodeNameOf(loop.settings())),
-      epoch_(EpochNow()),
+      epoch_(UnixMillisecondsNow()),
       random_(base::SeededRandom(std::random_device()())),
       log_(clock_),
       instance_(loop.settings().service, kMissedHeartbeats * loop.settings().heartbeat_interval) {
@@ -90,8 +91,9 @@
       },
       log_);
   InstanceProbeHooks probe_hooks;
-  probe_hooks.ask = [this](const std::string& path, InstanceProbeHooks::AnswerHandler handler) {
-    pool_->AskHealth(path, clock_() + kHealthTimeout, std::move(handler));
+  probe_hooks.send_probe = [this](const std::string& path,
+                                  InstanceProbeHooks::AnswerHandler handler) {
+    pool_->AskHealth(path, clock_() + kHealthCheckTimeout, std::move(handler));
   };
   probe_hooks.on_found = [this] { PublishRecord(); };
   probe_ = std::make_unique<InstanceProbe>(instance_, dialect_.headers, std::move(probe_hooks),
@@ -117,7 +119,7 @@
   entry_ = std::make_unique<request_path::Entry>(std::move(entry_options), settings.zone,
                                                  std::move(hooks), loop_.timers(), log_);
   entry_->chooser().set_is_silent([this](const std::string& node) {
-    return peers_ != nullptr && peers_->SilentFor(node) > kSilenceSuspect;
+    return peers_ != nullptr && peers_->SilentFor(node) > kPeerSuspectTimeout;
   });
   gate_->set_downstream_level([this] { return entry_->DownstreamLevel(); });
   Listen();
@@ -148,7 +150,7 @@
   DirectorySyncHooks sync_hooks;
   sync_hooks.clock = clock_;
   sync_hooks.send = [this](const std::string& address, std::string bytes) {
-    peers_->SendControl(PeerOf(address), wire::Channel::kMembership, std::move(bytes));
+    peers_->SendControl(PeerAddressOf(address), wire::Channel::kMembership, std::move(bytes));
   };
   sync_hooks.on_records = [this] { HandleRecords(); };
   sync_hooks.on_declaration = [this](std::uint64_t version, const std::string& text) {
@@ -156,7 +158,7 @@
   };
   sync_ = std::make_unique<DirectorySync>(SeedNodes(settings), std::move(sync_hooks));
   transport::TransportOptions peer_options = PeerOptions(settings);
-  // Bytes within a zone are cheap; those between zones are worth the time to compress them.
+  // Traffic within a zone is cheap; traffic between zones is worth the CPU time to compress it.
   peer_options.compresses = [this](const std::string& node) {
     const auto& records = sync_->view().records();
     const auto record = records.find(node);
@@ -168,31 +170,32 @@
 
   http_stream::ServerLimits limits;
   limits.connections = settings.connections;
-  callers_ = std::make_unique<http_stream::Server>(
+  caller_server_ = std::make_unique<http_stream::Server>(
       loop_.context(), limits,
       [this](http_stream::RequestMessage message, base::TimePoint received,
              const http_stream::Exchange& exchange) {
         HandleCallerRequest(std::move(message), received, exchange);
       });
-  callers_->Listen(settings.callers);
+  caller_server_->Listen(settings.callers);
   http_stream::ServerLimits call_limits;
-  call_limits.message.body_bytes = kCallBodyBytes;
+  call_limits.message.body_bytes = kMaximumCallBodyBytes;
   const auto handle_call = [this](const http_stream::RequestMessage& message, base::TimePoint,
                                   const http_stream::Exchange& exchange) {
     HandleCall(message, exchange);
   };
-  readiness_ = std::make_unique<http_stream::Server>(loop_.context(), call_limits, handle_call);
-  readiness_->Listen(settings.readiness);
-  calls_ = std::make_unique<http_stream::Server>(loop_.context(), call_limits, handle_call);
-  calls_->Listen(settings.calls);
+  readiness_server_ =
+      std::make_unique<http_stream::Server>(loop_.context(), call_limits, handle_call);
+  readiness_server_->Listen(settings.readiness);
+  call_server_ = std::make_unique<http_stream::Server>(loop_.context(), call_limits, handle_call);
+  call_server_->Listen(settings.calls);
   if (settings.metrics) {
-    metrics_ = std::make_unique<http_stream::Server>(
+    metrics_server_ = std::make_unique<http_stream::Server>(
         loop_.context(), call_limits,
         [this](const http_stream::RequestMessage&, base::TimePoint,
                const http_stream::Exchange& exchange) { RespondMetrics(exchange); });
-    metrics_->Listen(*settings.metrics);
+    metrics_server_->Listen(*settings.metrics);
   }
-  AskControlHosts();
+  PollControlHosts();
   loop_.timers().SubscribeEvery(kCheckInterval, [this](base::TimePoint) {
     peers_->CheckHeartbeats();
     CheckInstance();
@@ -207,18 +210,19 @@
              {"epoch", static_cast<Json::UInt64>(epoch_)}});
 }
 
-void MeshNode::AskControlHosts() {
-  sync_->Ask();
-  loop_.timers().SubscribeOnce(sync_->interval(), [this](base::TimePoint) { AskControlHosts(); });
+void MeshNode::PollControlHosts() {
+  sync_->Poll();
+  loop_.timers().SubscribeOnce(sync_->poll_interval(),
+                               [this](base::TimePoint) { PollControlHosts(); });
 }
 
 void MeshNode::HandleCallerRequest(http_stream::RequestMessage message, base::TimePoint received,
                                    const http_stream::Exchange& exchange) {
-  request_path::CancelHook abandon = entry_->Handle(
+  request_path::CancelHook cancel = entry_->Handle(
       std::move(message), received,
       [exchange](http_stream::ResponseMessage response) { exchange.Respond(std::move(response)); });
-  if (abandon) {
-    exchange.NotifyAbandoned(std::move(abandon));
+  if (cancel) {
+    exchange.NotifyAbandoned(std::move(cancel));
   }
 }
 
@@ -243,25 +247,25 @@
     base::Log(base::LogLevel::kInfo, "call_refused",
               {{"target", message.target}, {"status", status}, {"reason", refused->reason}});
   }
-  exchange.Respond(Plain(status, std::move(body), dialect_.content_type));
+  exchange.Respond(MakeResponse(status, std::move(body), dialect_.content_type));
 }
 
 unsigned MeshNode::HandleHeartbeat(const HeartbeatCall& call) {
-  const std::string before = instance_.instance();
+  const std::string previous_instance = instance_.instance();
   const bool was_leaving = instance_.leaving_since().has_value();
   const directory::HeartbeatOutcome outcome = instance_.HandleHeartbeat(call.heartbeat, clock_());
   if (outcome == directory::HeartbeatOutcome::kOtherService) {
     return kBadRequest;
   }
   if (outcome == directory::HeartbeatOutcome::kTaken) {
-    const bool is_other = before != instance_.instance();
-    if (is_other) {
+    const bool is_replaced = previous_instance != instance_.instance();
+    if (is_replaced) {
       pool_->DropIdle();
     }
-    if (is_other || was_leaving != instance_.leaving_since().has_value()) {
+    if (is_replaced || was_leaving != instance_.leaving_since().has_value()) {
       base::Log(base::LogLevel::kInfo, "instance_heard",
                 {{"instance", instance_.instance()},
-                 {"before", before},
+                 {"before", previous_instance},
                  {"leaving", instance_.leaving_since().has_value()},
                  {"sequence", static_cast<Json::UInt64>(call.heartbeat.sequence)},
                  {"born", static_cast<Json::UInt64>(call.heartbeat.born)},
@@ -287,7 +291,7 @@
     return [this, ticket] { gate_->Cancel(ticket); };
   }
   const transport::CallId call =
-      peers_->SendRequest(PeerOf(instance.node), std::move(request),
+      peers_->SendRequest(PeerAddressOf(instance.node), std::move(request),
                           [handler = std::move(handler)](transport::CallResult result) {
                             handler(ToResponse(std::move(result)));
                           });
@@ -296,15 +300,15 @@
 
 void MeshNode::HandlePeerRequest(const transport::InboundRequestId& id, wire::Request request,
                                  transport::Responder respond) {
-  const auto is_ended = std::make_shared<bool>(false);
+  const auto has_ended = std::make_shared<bool>(false);
   const request_path::GateTicket ticket =
       gate_->Submit(std::move(request),
-                    [this, id, is_ended, respond = std::move(respond)](wire::Response response) {
-                      *is_ended = true;
+                    [this, id, has_ended, respond = std::move(respond)](wire::Response response) {
+                      *has_ended = true;
                       inbound_.erase(id);
                       respond(std::move(response));
                     });
-  if (!*is_ended) {
+  if (!*has_ended) {
     inbound_.emplace(id, ticket);
   }
 }
@@ -325,21 +329,21 @@
     entry_->SetDeclaration(declaration);
     http_stream::ServerLimits limits;
     limits.connections = loop_.settings().connections;
-    const declaration::CallerLimits& stated = declaration.limits;
-    if (stated.header_bytes > 0) {
-      limits.message.header_bytes = stated.header_bytes;
+    const declaration::CallerLimits& declared = declaration.limits;
+    if (declared.header_bytes > 0) {
+      limits.message.header_bytes = declared.header_bytes;
     }
-    if (stated.body_bytes > 0) {
+    if (declared.body_bytes > 0) {
       limits.message.body_bytes =
-          std::min<std::size_t>(limits.message.body_bytes, stated.body_bytes);
+          std::min<std::size_t>(limits.message.body_bytes, declared.body_bytes);
     }
-    if (stated.header_timeout > base::Duration::zero()) {
-      limits.header_timeout = stated.header_timeout;
+    if (declared.header_timeout > base::Duration::zero()) {
+      limits.header_timeout = declared.header_timeout;
     }
-    if (stated.idle_timeout > base::Duration::zero()) {
-      limits.idle_timeout = stated.idle_timeout;
+    if (declared.idle_timeout > base::Duration::zero()) {
+      limits.idle_timeout = declared.idle_timeout;
     }
-    callers_->set_limits(limits);
+    caller_server_->set_limits(limits);
     for (const declaration::ServiceEntry& service : declaration.services) {
       if (service.name == loop_.settings().service) {
         health_path_ = service.health_path;
@@ -357,7 +361,7 @@
 
 void MeshNode::HandleRecords() {
   std::map<std::string, directory::InstanceRecord> records = sync_->view().records();
-  // What this node knows of its own instance is newer than what comes back from control hosts.
+  // The node's own record is newer than the copy that the control hosts return.
   records.erase(node_);
   if (!record_.instance.empty()) {
     records.emplace(node_, record_);
@@ -382,7 +386,7 @@
     record.slowdown_steps = gate_->slowdown_steps();
     if (entry_->has_seen_calls()) {
       record.calls = directory::CallUse::kSome;
-    } else if (gate_->counters().started >= kRunsWithoutCalls) {
+    } else if (gate_->counters().started >= kRequestsToAssumeNoCalls) {
       record.calls = directory::CallUse::kNone;
     }
     record.warm_up_left_ms = instance_.WarmUpLeft(clock_()) > base::Duration::zero() ? 1 : 0;
@@ -398,7 +402,7 @@
 }
 
 bool MeshNode::IsWithdrawn() const {
-  return draining_since_ && clock_() - *draining_since_ >= kServingDrain;
+  return draining_since_ && clock_() - *draining_since_ >= kWithdrawalDelay;
 }
 
 void MeshNode::CheckInstance() {
@@ -423,9 +427,9 @@
   }
   draining_since_ = clock_();
   base::Log(base::LogLevel::kInfo, "node_draining",
-            {{"exchanges", static_cast<Json::UInt64>(callers_->exchanges_in_progress())},
+            {{"exchanges", static_cast<Json::UInt64>(caller_server_->exchanges_in_progress())},
              {"running", static_cast<Json::UInt64>(gate_->running())}});
-  callers_->BeginDrain();
+  caller_server_->BeginDrain();
   PublishRecord();
 }
 
@@ -434,19 +438,20 @@
     return;
   }
   const base::Duration since = clock_() - *draining_since_;
-  if (since >= kTakingDrain) {
+  if (since >= kGateCloseDelay) {
     gate_->StopTaking();
   }
-  if (since >= kShortestDrain) {
-    // A request taken later might not end before the process has to.
+  if (since >= kMinimumDrainTime) {
+    // A request accepted later might not finish before the process must exit.
     entry_->StopTaking();
   }
-  const bool is_idle =
-      callers_->exchanges_in_progress() == 0 && gate_->running() == 0 && gate_->waiting() == 0;
-  if ((is_idle && since >= kShortestDrain) || since >= loop_.settings().drain_time - kDrainMargin) {
+  const bool is_idle = caller_server_->exchanges_in_progress() == 0 && gate_->running() == 0 &&
+                       gate_->waiting() == 0;
+  if ((is_idle && since >= kMinimumDrainTime) ||
+      since >= loop_.settings().drain_time - kDrainMargin) {
     base::Log(base::LogLevel::kInfo, "node_stopped",
               {{"idle", is_idle},
-               {"exchanges", static_cast<Json::UInt64>(callers_->exchanges_in_progress())}});
+               {"exchanges", static_cast<Json::UInt64>(caller_server_->exchanges_in_progress())}});
     loop_.Stop();
   }
 }
@@ -472,14 +477,14 @@
            pool.connections_opened);
   text.Add("borageloft_upstream_reuses_total", "Requests sent on a kept connection", pool.reused);
   text.Add("borageloft_caller_connections", "Open connections of callers",
-           callers_->connection_count());
+           caller_server_->connection_count());
   text.Add("borageloft_declaration_version", "Declaration in force", entry_->version());
   text.Add("borageloft_instances_known", "Instances in the directory",
            sync_->view().records().size());
   text.Add("borageloft_control_hosts", "Control hosts that answered lately",
            sync_->reachable_hosts());
   text.Add("borageloft_log_lines_dropped_total", "Log lines beyond the bound", log_.dropped());
-  exchange.Respond(Plain(kOk, text.Serialize(), "text/plain; version=0.0.4"));
+  exchange.Respond(MakeResponse(kOk, text.Serialize(), "text/plain; version=0.0.4"));
 }
 
 }  // namespace borageloft::mesh
--- a/libraries/mesh/mesh_node.h
+++ b/libraries/mesh/mesh_node.h
@@ -15,27 +15,29 @@
 namespace borageloft::mesh {
 
 /**
- * The process beside an upstream: the entry of the requests that begin on its host and the gate of
- * its upstream. Wires the libraries together and decides nothing itself.
+ * The process beside an upstream: the entry for requests that originate on its host and the gate in
+ * front of the upstream. Connects the libraries and contains no policy of its own. Runs on the
+ * thread of its event loop; not thread-safe.
  */
 class MeshNode {
  public:
-  /** Begins to listen. @throws base::Error if an address cannot be used. */
+  /** Starts listening. @throws base::Error if an address is unusable. */
   MeshNode(NodeLoop& loop, Dialect dialect);
   ~MeshNode();
 
   MeshNode(const MeshNode&) = delete;
   MeshNode& operator=(const MeshNode&) = delete;
 
-  /** Stops taking part: says that it is not ready, finishes what it has and ends the loop. */
+  /** Starts the drain: reports that it is not ready, finishes the requests in progress and stops
+   * the event loop before the drain time is over. */
   void BeginDrain();
 
-  /** Takes settings that were read again. */
+  /** Applies the seeds of reloaded settings; other changes need a restart. */
   void HandleSettings(const MeshSettings& settings);
 
  private:
   void Listen();
-  void AskControlHosts();
+  void PollControlHosts();
   void HandleCallerRequest(http_stream::RequestMessage message, base::TimePoint received,
                            const http_stream::Exchange& exchange);
   void HandleCall(const http_stream::RequestMessage& message,
@@ -68,15 +70,15 @@
   std::unique_ptr<request_path::UpstreamPool> pool_;
   std::unique_ptr<request_path::LocalGate> gate_;
   std::unique_ptr<InstanceProbe> probe_;
-  std::string health_path_;  // Of the local upstream, by the declaration in force.
+  std::string health_path_;  // Of the local upstream, from the declaration in force.
   std::unique_ptr<request_path::Entry> entry_;
   std::unique_ptr<DirectorySync> sync_;
   std::unique_ptr<transport::PeerTransport> peers_;
   std::map<transport::InboundRequestId, request_path::GateTicket> inbound_;
-  std::unique_ptr<http_stream::Server> callers_;
-  std::unique_ptr<http_stream::Server> readiness_;
-  std::unique_ptr<http_stream::Server> calls_;
-  std::unique_ptr<http_stream::Server> metrics_;
+  std::unique_ptr<http_stream::Server> caller_server_;
+  std::unique_ptr<http_stream::Server> readiness_server_;
+  std::unique_ptr<http_stream::Server> call_server_;
+  std::unique_ptr<http_stream::Server> metrics_server_;
   std::optional<base::TimePoint> draining_since_;
 };
 
--- a/libraries/mesh/mesh_settings.cc
+++ b/libraries/mesh/mesh_settings.cc
@@ -69,7 +69,7 @@
 
   settings::Endpoint RequiredAddress(ValueParser& parser, const std::string& key) {
     if (!parser.Has(key)) {
-      parser.AddIssue(key, "missing; an address such as 10.0.0.7:8080");
+      parser.AddIssue(key, "missing; expected an address such as 10.0.0.7:8080");
       return {};
     }
     return parser.Address(key, {});
@@ -104,18 +104,18 @@
       if (const auto endpoint = settings::ParseEndpoint(text)) {
         settings_.seeds.push_back(*endpoint);
       } else {
-        parser.AddIssue("seeds", "'" + text + "' is no address such as 10.0.0.7:8080");
+        parser.AddIssue("seeds", "'" + text + "' is not an address such as 10.0.0.7:8080");
       }
     }
     if (settings_.seeds.empty()) {
-      parser.AddIssue("seeds", "missing; the addresses of one control host or more");
+      parser.AddIssue("seeds", "missing; expected the address of at least one control host");
     }
     settings_.is_first_start = parser.YesNo("first_start", false);
     settings_.tolerated_losses =
         static_cast<std::size_t>(parser.Integer("tolerated_losses", 0, 0, 7));
     settings_.data_folder = parser.Text("data_folder", "");
     if (settings_.role == MeshRole::kControl && settings_.data_folder.empty()) {
-      parser.AddIssue("data_folder", "missing; a control host keeps its state there");
+      parser.AddIssue("data_folder", "missing; a control host stores its state in this folder");
     }
     parser.RefuseUnknownKeys();
   }
--- a/libraries/mesh/mesh_settings.h
+++ b/libraries/mesh/mesh_settings.h
@@ -10,10 +10,10 @@
 
 namespace borageloft::mesh {
 
-/** What a process does. */
+/** Role of a process. */
 enum class MeshRole {
-  kNode,     // Beside an upstream: entry and gate.
-  kControl,  // On a host with a disk: keeps the declaration and the directory.
+  kNode,     // Runs beside an upstream, as entry and gate.
+  kControl,  // Runs on a host with a disk; stores the declaration, serves the directory.
 };
 
 /** Settings of one process; docs/SETTINGS.md lists every key. */
@@ -22,10 +22,10 @@
   std::string zone;
   MeshRole role = MeshRole::kNode;
 
-  settings::Endpoint callers;    ///< Where callers and the local upstream send requests.
-  settings::Endpoint readiness;  ///< Where readiness is asked for.
-  settings::Endpoint calls;      ///< Where the upstream announces itself, or operators call.
-  settings::Endpoint peers;      ///< Where other nodes connect; every host uses the same port.
+  settings::Endpoint callers;    ///< Listens for requests of callers and the local upstream.
+  settings::Endpoint readiness;  ///< Listens for readiness checks.
+  settings::Endpoint calls;      ///< Listens for the upstream's announcements, or operators' calls.
+  settings::Endpoint peers;      ///< Listens for other nodes; the port is the same on every host.
   std::optional<settings::Endpoint> metrics;
 
   settings::Endpoint upstream;
@@ -45,12 +45,16 @@
 };
 
 /**
- * Reads the settings of a process.
- * @throws settings::SettingsError with every fault found.
+ * Loads the settings file of a process.
+ * @throws settings::SettingsError listing every error found, or if the file cannot be read.
  */
 MeshSettings LoadMeshSettings(const std::string& path);
 
-/** Reads settings from @p text; @p file names it in faults. */
+/**
+ * Parses settings.
+ * @param file File name for error messages.
+ * @throws settings::SettingsError listing every error found.
+ */
 MeshSettings ParseMeshSettings(const std::string& text, const std::string& file);
 
 }  // namespace borageloft::mesh
--- a/libraries/mesh/metrics_text.h
+++ b/libraries/mesh/metrics_text.h
@@ -10,13 +10,13 @@
 
 namespace borageloft::mesh {
 
-/** Collects counters and gauges and writes them in the text format of Prometheus. */
+/** Collects counters and gauges and serializes them in the Prometheus text format. */
 class MetricsText {
  public:
-  /** Adds one value; a name that ends in "_total" is a counter. */
+  /** Adds one value. A metric whose name ends in "_total" is a counter, any other one a gauge. */
   void Add(const std::string& name, const std::string& help, std::uint64_t value);
 
-  /** Adds one value for each label value. */
+  /** Adds a metric with one value for each value of @p label. */
   void Add(const std::string& name, const std::string& help, const std::string& label,
            const std::map<std::string, std::uint64_t>& values);
 
--- a/libraries/mesh/node_loop.cc
+++ b/libraries/mesh/node_loop.cc
@@ -8,16 +8,17 @@
 
 namespace {
 
-// Interval at which the settings file is compared with what was read.
-constexpr std::chrono::seconds kFileInterval{2};
-// Upper bound of a round of timers: a subscription added meanwhile is late by no more than this.
-constexpr std::chrono::milliseconds kLongestRound{10};
+// Interval at which the settings file is checked for changes.
+constexpr std::chrono::seconds kSettingsCheckInterval{2};
+// Longest wait between two runs of the due timers. A subscription that is added during the wait is
+// delayed by at most this.
+constexpr std::chrono::milliseconds kMaximumTimerWait{10};
 
 }  // namespace
 
 NodeLoop::NodeLoop(MeshSettings settings, std::string path)
-    : settings_(std::move(settings)), path_(std::move(path)) {
-  text_ = settings::ReadTextFile(path_);
+    : settings_(std::move(settings)), settings_path_(std::move(path)) {
+  settings_text_ = settings::ReadTextFile(settings_path_);
 }
 
 void NodeLoop::Run(std::function<void()> on_terminate,
@@ -28,7 +29,7 @@
   signals_.add(SIGINT);
   signals_.add(SIGHUP);
   WaitForSignal();
-  timers_.SubscribeEvery(kFileInterval, [this](base::TimePoint) { CheckFile(); });
+  timers_.SubscribeEvery(kSettingsCheckInterval, [this](base::TimePoint) { CheckSettingsFile(); });
   ScheduleTimers();
   context_.run();
 }
@@ -48,7 +49,7 @@
 }
 
 void NodeLoop::ScheduleTimers() {
-  auto due = std::chrono::steady_clock::now() + kLongestRound;
+  auto due = std::chrono::steady_clock::now() + kMaximumTimerWait;
   if (const auto next = timers_.NextDue()) {
     due = std::min(due, *next);
   }
@@ -61,20 +62,20 @@
   });
 }
 
-void NodeLoop::CheckFile() {
+void NodeLoop::CheckSettingsFile() {
   try {
-    if (settings::ReadTextFile(path_) != text_) {
+    if (settings::ReadTextFile(settings_path_) != settings_text_) {
       Reload("file");
     }
   } catch (const base::Error&) {
-    // The file may be missing while it is being replaced; the next check finds it.
+    // The file may be missing while it is being replaced; the next check retries.
   }
 }
 
 void NodeLoop::Reload(const char* cause) {
   try {
-    text_ = settings::ReadTextFile(path_);
-    const MeshSettings settings = ParseMeshSettings(text_, path_);
+    settings_text_ = settings::ReadTextFile(settings_path_);
+    const MeshSettings settings = ParseMeshSettings(settings_text_, settings_path_);
     settings_.seeds = settings.seeds;
     base::Log(base::LogLevel::kInfo, "settings_reloaded", {{"cause", cause}});
     on_settings_(settings);
--- a/libraries/mesh/node_loop.h
+++ b/libraries/mesh/node_loop.h
@@ -12,23 +12,23 @@
 namespace borageloft::mesh {
 
 /**
- * The event loop of one process: timers, signals and settings that change. Everything of a process
- * runs on its thread.
+ * The event loop of one process: I/O, timers, signals and reloading of the settings file. All work
+ * of the process runs on the thread that calls Run().
  */
 class NodeLoop {
  public:
-  /** @param path Settings file, read again on SIGHUP and when it changes. */
+  /** @param path Settings file, which is reloaded on SIGHUP and when its content changes. */
   NodeLoop(MeshSettings settings, std::string path);
 
   /**
-   * Runs until Stop().
+   * Runs the event loop until Stop() is called.
    * @param on_terminate Called on SIGTERM and SIGINT.
-   * @param on_settings Called with settings that were read again.
+   * @param on_settings Called with reloaded settings that are valid.
    */
   void Run(std::function<void()> on_terminate,
            std::function<void(const MeshSettings& settings)> on_settings);
 
-  /** Ends Run(). */
+  /** Makes Run() return. */
   void Stop() { context_.stop(); }
 
   asio::io_context& context() { return context_; }
@@ -38,12 +38,12 @@
  private:
   void WaitForSignal();
   void ScheduleTimers();
-  void CheckFile();
+  void CheckSettingsFile();
   void Reload(const char* cause);
 
   MeshSettings settings_;
-  std::string path_;
-  std::string text_;
+  std::string settings_path_;
+  std::string settings_text_;
   asio::io_context context_{1};
   timer::TimerService timers_{base::SystemClock()};
   asio::steady_timer timer_{context_};
--- a/libraries/mesh/peer_address.cc
+++ b/libraries/mesh/peer_address.cc
@@ -4,15 +4,16 @@
 
 namespace {
 
-// A peer that answers nothing for this long is given up: below the shortest deadlines in use, and
-// above the pauses of a busy host.
-constexpr std::chrono::milliseconds kPeerPing{200};
-constexpr std::chrono::milliseconds kPeerSilence{1200};
-// A host that has no power drops the first packet, and the system sends the next one a second
-// later; a new attempt is sooner there. Above two round trips between regions.
-constexpr std::chrono::milliseconds kPeerConnect{300};
-constexpr std::size_t kFrameBytes = std::size_t{12} << 20U;
-constexpr std::size_t kQueueBytes = std::size_t{24} << 20U;
+// A connection to a peer that sends nothing for the silence timeout is closed. The timeout is below
+// the shortest deadlines in use and above the pauses of a busy host.
+constexpr std::chrono::milliseconds kPeerPingInterval{200};
+constexpr std::chrono::milliseconds kPeerSilenceTimeout{1200};
+// The first packet to a host without power is lost, and the kernel retransmits it only after 1 s; a
+// new attempt reaches a host that is back sooner. The timeout is above two round trips between
+// regions.
+constexpr std::chrono::milliseconds kPeerConnectTimeout{300};
+constexpr std::size_t kMaximumFrameBytes = std::size_t{12} << 20U;
+constexpr std::size_t kMaximumQueueBytes = std::size_t{24} << 20U;
 
 }  // namespace
 
@@ -28,7 +29,7 @@
   return nodes;
 }
 
-transport::PeerAddress PeerOf(const std::string& node) {
+transport::PeerAddress PeerAddressOf(const std::string& node) {
   const auto endpoint = settings::ParseEndpoint(node);
   return {node, endpoint.value_or(settings::Endpoint{"127.0.0.1", 0})};
 }
@@ -36,11 +37,11 @@
 transport::TransportOptions PeerOptions(const MeshSettings& settings) {
   transport::TransportOptions options;
   options.node = NodeNameOf(settings);
-  options.frame_bytes = kFrameBytes;
-  options.queue_bytes = kQueueBytes;
-  options.ping_interval = kPeerPing;
-  options.silence_timeout = kPeerSilence;
-  options.connect_timeout = kPeerConnect;
+  options.frame_bytes = kMaximumFrameBytes;
+  options.queue_bytes = kMaximumQueueBytes;
+  options.ping_interval = kPeerPingInterval;
+  options.silence_timeout = kPeerSilenceTimeout;
+  options.connect_timeout = kPeerConnectTimeout;
   return options;
 }
 
--- a/libraries/mesh/peer_address.h
+++ b/libraries/mesh/peer_address.h
@@ -9,16 +9,16 @@
 
 namespace borageloft::mesh {
 
-/** @return Address at which other nodes reach the process; it also names the node. */
+/** @return Address at which other nodes reach this process, which is also the node's name. */
 std::string NodeNameOf(const MeshSettings& settings);
 
-/** @return Node names of the seeds: their hosts, at the port that all nodes use. */
+/** @return Node names of the seeds: their IP addresses with the peer port that all nodes use. */
 std::vector<std::string> SeedNodes(const MeshSettings& settings);
 
-/** @return Where the node named @p node is reached. */
-transport::PeerAddress PeerOf(const std::string& node);
+/** @return Address of the node named @p node; port 0 on loopback if the name is not an address. */
+transport::PeerAddress PeerAddressOf(const std::string& node);
 
-/** @return Options of the connections between nodes. */
+/** @return Transport options for the connections between nodes. */
 transport::TransportOptions PeerOptions(const MeshSettings& settings);
 
 }  // namespace borageloft::mesh
--- a/tests/mesh/directory_sync_test.cc
+++ b/tests/mesh/directory_sync_test.cc
@@ -12,7 +12,7 @@
     DirectorySyncHooks hooks;
     hooks.clock = [this] { return now_; };
     hooks.send = [this](const std::string& address, const std::string&) {
-      asked_.push_back(address);
+      polled_hosts_.push_back(address);
     };
     hooks.on_records = [] {};
     hooks.on_declaration = [this](std::uint64_t version, const std::string&) {
@@ -34,13 +34,14 @@
   }
 
   base::TimePoint now_{std::chrono::seconds(100)};
-  std::vector<std::string> asked_;
+  std::vector<std::string> polled_hosts_;
   std::vector<std::uint64_t> versions_;
   std::unique_ptr<DirectorySync> sync_;
 };
 
-// Guards against a restarted node that serves by what a control host without a leader holds.
-TEST_F(DirectorySyncTest, TakesItsFirstDeclarationOnlyFromACurrentHost) {
+// Guards against a restarted node that serves by the stale declaration of a control host without
+// contact to the leader.
+TEST_F(DirectorySyncTest, AcceptsFirstDeclarationOnlyFromCurrentHost) {
   Answer("c1", 3, false);
   EXPECT_TRUE(versions_.empty());
   Answer("c2", 5, true);
@@ -50,58 +51,59 @@
   EXPECT_EQ(versions_, (std::vector<std::uint64_t>{5, 7}));
 }
 
-// Guards against one host that is asked alone, and against hosts that are found and never asked.
-TEST_F(DirectorySyncTest, AsksOneHostAfterTheOther) {
+// Guards against polling only one host, and against never polling hosts that were learned from an
+// answer.
+TEST_F(DirectorySyncTest, PollsHostsInTurn) {
   Answer("c1", 1, true);
-  asked_.clear();
+  polled_hosts_.clear();
   for (int round = 0; round < 4; ++round) {
-    sync_->Ask();
-    Answer(asked_.back(), 1, true);
+    sync_->Poll();
+    Answer(polled_hosts_.back(), 1, true);
   }
-  std::sort(asked_.begin(), asked_.end());
-  EXPECT_EQ(asked_, (std::vector<std::string>{"c1", "c2", "c3", "c4"}));
+  std::sort(polled_hosts_.begin(), polled_hosts_.end());
+  EXPECT_EQ(polled_hosts_, (std::vector<std::string>{"c1", "c2", "c3", "c4"}));
 }
 
-// Guards against a restarted node that refuses requests while the one host that knows the
-// declaration waits for its turn.
-TEST_F(DirectorySyncTest, AsksEveryHostUntilOneIsCurrent) {
-  sync_->Ask();
+// Guards against a restarted node that keeps refusing requests because the only host with the
+// declaration is not polled until its turn.
+TEST_F(DirectorySyncTest, PollsEveryHostUntilOneIsCurrent) {
+  sync_->Poll();
   Answer("c1", 0, false);
-  sync_->Ask();
-  EXPECT_EQ(asked_, (std::vector<std::string>{"c1", "c2", "c3", "c1", "c2", "c3"}));
-  EXPECT_LT(sync_->interval(), DirectorySync::kInterval);
+  sync_->Poll();
+  EXPECT_EQ(polled_hosts_, (std::vector<std::string>{"c1", "c2", "c3", "c1", "c2", "c3"}));
+  EXPECT_LT(sync_->poll_interval(), DirectorySync::kPollInterval);
   Answer("c2", 0, true);
-  asked_.clear();
-  sync_->Ask();
-  EXPECT_EQ(asked_.size(), 1U);
-  EXPECT_EQ(sync_->interval(), DirectorySync::kInterval);
+  polled_hosts_.clear();
+  sync_->Poll();
+  EXPECT_EQ(polled_hosts_.size(), 1U);
+  EXPECT_EQ(sync_->poll_interval(), DirectorySync::kPollInterval);
 }
 
-// Guards against questions that are lost at hosts that do not answer.
-TEST_F(DirectorySyncTest, PassesOverSilentHostsAndStillTriesThem) {
+// Guards against wasting most polls on hosts that do not answer, and against never retrying them.
+TEST_F(DirectorySyncTest, PollsSilentHostsLessOften) {
   Answer("c1", 1, true);
   for (int round = 0; round < 60; ++round) {
-    sync_->Ask();
-    if (asked_.back() == "c1") {
+    sync_->Poll();
+    if (polled_hosts_.back() == "c1") {
       Answer("c1", 1, true);
     }
   }
-  const auto to_live = std::count(asked_.begin(), asked_.end(), "c1");
-  EXPECT_GT(to_live, 20);
+  const auto live_polls = std::count(polled_hosts_.begin(), polled_hosts_.end(), "c1");
+  EXPECT_GT(live_polls, 20);
   for (const char* silent : {"c2", "c3", "c4"}) {
-    EXPECT_GT(std::count(asked_.begin(), asked_.end(), silent), 2) << silent;
+    EXPECT_GT(std::count(polled_hosts_.begin(), polled_hosts_.end(), silent), 2) << silent;
   }
 }
 
-// Guards against a changed state of the own instance that waits for the next question.
-TEST_F(DirectorySyncTest, TellsEveryHostAtOnceOfAChange) {
+// Guards against a change of the node's own record that is not sent until the next poll.
+TEST_F(DirectorySyncTest, SendsChangedRecordToEveryHostAtOnce) {
   directory::InstanceRecord record;
   record.node = "n";
   record.revision = 1;
   sync_->SetRecord(record);
-  EXPECT_EQ(asked_.size(), 3U);
+  EXPECT_EQ(polled_hosts_.size(), 3U);
   sync_->SetRecord(record);
-  EXPECT_EQ(asked_.size(), 3U);
+  EXPECT_EQ(polled_hosts_.size(), 3U);
 }
 
 }  // namespace
--- a/tests/mesh/instance_probe_test.cc
+++ b/tests/mesh/instance_probe_test.cc
@@ -16,7 +16,7 @@
     names.instance = "Instance";
     names.upstream_load = "Load";
     InstanceProbeHooks hooks;
-    hooks.ask = [this](const std::string& path, InstanceProbeHooks::AnswerHandler handler) {
+    hooks.send_probe = [this](const std::string& path, InstanceProbeHooks::AnswerHandler handler) {
       paths_.push_back(path);
       handler_ = std::move(handler);
     };
@@ -40,8 +40,9 @@
   std::unique_ptr<InstanceProbe> probe_;
 };
 
-// Guards against an upstream that is idle after its node was restarted, until its next heartbeat.
-TEST_F(InstanceProbeTest, TakesAHealthyInstance) {
+// Guards against an upstream that gets no work between a restart of its node and its next
+// heartbeat.
+TEST_F(InstanceProbeTest, AdoptsHealthyInstance) {
   probe_->Check("/health", now_);
   ASSERT_EQ(paths_, std::vector<std::string>{"/health"});
   Answer(200, {{"Instance", "i-1"}, {"Load", "3,0,25"}});
@@ -53,8 +54,8 @@
   EXPECT_EQ(paths_.size(), 1U);
 }
 
-// Guards against work for an upstream that is leaving or failing.
-TEST_F(InstanceProbeTest, LeavesAnUnhealthyInstanceToItsHeartbeats) {
+// Guards against sending work to an upstream that is leaving or unhealthy.
+TEST_F(InstanceProbeTest, DoesNotAdoptUnhealthyInstance) {
   probe_->Check("/health", now_);
   Answer(503, {{"Instance", "i-1"}});
   EXPECT_FALSE(instance_.is_known());
@@ -65,8 +66,9 @@
   EXPECT_EQ(found_, 0);
 }
 
-// Guards against probes that go on for ever, overlap, or replace what the instance said itself.
-TEST_F(InstanceProbeTest, AsksRarelyAndOnlyShortlyAfterTheStart) {
+// Guards against probes that never stop, that overlap, or whose late response replaces an instance
+// known from its heartbeat.
+TEST_F(InstanceProbeTest, ProbesRarelyAndOnlySoonAfterStart) {
   probe_->Check("", now_);
   EXPECT_TRUE(paths_.empty());
   probe_->Check("/health", now_);
@@ -78,10 +80,10 @@
   Answer(200, {{"Instance", "i-1"}});
   EXPECT_EQ(instance_.instance(), "i-2");
   directory::LocalInstance silent("parts", seconds(4));
-  int asked = 0;
+  int probes = 0;
   InstanceProbeHooks hooks;
-  hooks.ask = [&](const std::string&, const InstanceProbeHooks::AnswerHandler& handler) {
-    ++asked;
+  hooks.send_probe = [&](const std::string&, const InstanceProbeHooks::AnswerHandler& handler) {
+    ++probes;
     handler({});
   };
   request_path::HeaderNames names;
@@ -91,7 +93,7 @@
     probe.Check("/health", now_);
     now_ += milliseconds(100);
   }
-  EXPECT_LE(asked, 11);
+  EXPECT_LE(probes, 11);
 }
 
 }  // namespace
--- a/tests/mesh/mesh_settings_test.cc
+++ b/tests/mesh/mesh_settings_test.cc
@@ -12,21 +12,21 @@
     "[upstream]\naddress = 10.0.0.1:90\nservice = parts\n"
     "[control]\nseeds = 10.0.0.7:82, 10.0.0.8:82\n";
 
-TEST(MeshSettingsTest, ReadsANode) {
+TEST(MeshSettingsTest, ReadsNodeSettings) {
   const MeshSettings settings = ParseMeshSettings(kNode, "node.ini");
   EXPECT_EQ(settings.service, "parts");
   ASSERT_EQ(settings.seeds.size(), 2U);
   EXPECT_EQ(settings.seeds[1].address, "10.0.0.8");
 }
 
-// Guards against a fault that is reported without its place or its allowed range.
-TEST(MeshSettingsTest, NamesEveryFaultWithItsPlace) {
+// Guards against an error that is reported without its file, line and key, or its allowed range.
+TEST(MeshSettingsTest, ReportsEveryErrorWithItsLine) {
   const std::string text = std::string(kNode) +
                            "first_start = maybe\ntolerated_losses = 99\n[retries]\nratio = 3\n"
                            "extra = 1\n[unknown]\na = 1\n";
   try {
     ParseMeshSettings(text, "node.ini");
-    FAIL() << "accepted";
+    FAIL() << "invalid settings were accepted";
   } catch (const settings::SettingsError& error) {
     const std::string message = error.what();
     for (const char* part : {"node.ini:15: first_start", "node.ini:16: tolerated_losses", "0 to 7",
@@ -36,8 +36,9 @@
   }
 }
 
-// Guards against a repeat budget that ignores what a deployment states as a plain number.
-TEST(MeshSettingsTest, ReadsAShareInBothForms) {
+// Guards against a retry budget that ignores a ratio given as a plain number instead of a
+// percentage.
+TEST(MeshSettingsTest, ReadsRatioAsNumberOrPercentage) {
   const auto ratio = [](const std::string& text) {
     return ParseMeshSettings(std::string(kNode) + "[retries]\nratio = " + text + "\n", "node.ini")
         .retries.ratio;
@@ -49,7 +50,7 @@
   EXPECT_THROW(ratio("-0.1"), settings::SettingsError);
 }
 
-TEST(MeshSettingsTest, AControlHostNeedsItsDataFolder) {
+TEST(MeshSettingsTest, ControlHostRequiresDataFolder) {
   const std::string text =
       "[mesh]\nname = c1\nzone = z\nrole = control\n[listen]\ncalls = 10.0.0.1:82\n"
       "peers = 10.0.0.1:83\n[control]\nseeds = 10.0.0.7:82\n";
