--- a/libraries/control_member/control_member.h
+++ b/libraries/control_member/control_member.h
@@ -1,7 +1,7 @@
 #ifndef BORAGELOFT_CONTROL_MEMBER_CONTROL_MEMBER_H_
 #define BORAGELOFT_CONTROL_MEMBER_CONTROL_MEMBER_H_
 
-/** @file Public header of the control_member library: control hosts that find each other. */
+/** @file Public header of the control_member library: the replicated group of control hosts. */
 
 #include "libraries/control_member/formation_message.h"
 #include "libraries/control_member/member.h"
--- a/libraries/control_member/formation_message.h
+++ b/libraries/control_member/formation_message.h
@@ -10,44 +10,44 @@
 
 namespace borageloft::control_member {
 
-/** A message of the control group cannot be read, or the member cannot start. */
+/** A message of the control group is malformed, or the member cannot start. */
 class ControlMemberError : public base::Error {
  public:
   using Error::Error;
 };
 
-/** A message of the replicated log. */
-struct LogMessage {
+/** Carries an encoded message of the consensus protocol between two replicas. */
+struct ReplicationMessage {
   consensus::ReplicaId sender = consensus::kNoReplica;
   std::string bytes;
 };
 
-/** A host with an empty disk asks to take part. Members pass it on to the leader. */
+/** A host with an empty disk asks to join the group. Followers forward it once, to the leader. */
 struct JoinRequest {
-  std::string storage;  ///< Name of the host's disk: its address and a number drawn for this disk.
+  std::string storage;  ///< Name of the disk: the host's address and a random number for the disk.
   bool is_forwarded = false;
 };
 
-/** The leader admitted a disk as a learner. */
+/** The leader has added a disk to the group as a learner. */
 struct JoinAnswer {
   std::string storage;
   consensus::ReplicaId replica = consensus::kNoReplica;
 };
 
-/** The leader tells a replica that it is no member any more. */
-struct Removal {
+/** The leader informs a replica that it is no longer a member. */
+struct RemovalNotice {
   consensus::ReplicaId replica = consensus::kNoReplica;
-  consensus::Term term = 0;  ///< Term of the leader that says so.
+  consensus::Term term = 0;  ///< Term of the leader that sends the notice.
 };
 
 /** Any message between control hosts. */
-using FormationMessage = std::variant<LogMessage, JoinRequest, JoinAnswer, Removal>;
+using FormationMessage = std::variant<ReplicationMessage, JoinRequest, JoinAnswer, RemovalNotice>;
 
-/** @return The bytes of @p message. */
-std::string EncodeFormation(const FormationMessage& message);
+/** @return @p message in its wire format. */
+std::string EncodeFormationMessage(const FormationMessage& message);
 
-/** @throws ControlMemberError if the bytes are no message. */
-FormationMessage DecodeFormation(std::string_view bytes);
+/** Decodes a message. @throws ControlMemberError if @p bytes are malformed. */
+FormationMessage DecodeFormationMessage(std::string_view bytes);
 
 }  // namespace borageloft::control_member
 
--- a/libraries/control_member/member.cc
+++ b/libraries/control_member/member.cc
@@ -12,34 +12,34 @@
 
 constexpr const char* kGroupName = "declaration";
 constexpr std::chrono::milliseconds kJoinInterval{150};
-// Separates the address of a host from the number of its disk.
+// Separates the address of a host from the random number of its disk in a storage name.
 constexpr char kStorageSeparator = '#';
 
 using declaration::ReplaceOutcome;
 
-OrderStatus StatusOf(const std::string& result) {
+ReplaceStatus StatusOf(const std::string& result) {
   VERIFY(result.size() == 1);
   switch (static_cast<ReplaceOutcome>(result.front())) {
     case ReplaceOutcome::kAccepted:
     case ReplaceOutcome::kAcceptedEarlier:
-      return OrderStatus::kAccepted;
+      return ReplaceStatus::kAccepted;
     case ReplaceOutcome::kWrongBase:
-      return OrderStatus::kWrongBase;
+      return ReplaceStatus::kWrongBase;
     case ReplaceOutcome::kNotAbove:
-      return OrderStatus::kNotAbove;
+      return ReplaceStatus::kNotAbove;
   }
-  return OrderStatus::kUnavailable;
+  return ReplaceStatus::kUnavailable;
 }
 
-std::string GroupName(std::uint64_t generation) {
+std::string StoredGroupName(std::uint64_t generation) {
   return generation == 0 ? kGroupName : fmt::format("{}-{}", kGroupName, generation);
 }
 
-// The newest generation that is stored, or 0.
-std::uint64_t FindGeneration(const storage::DataFolder& folder) {
+// Returns the newest generation that is stored, or 0 if there is none.
+std::uint64_t FindNewestGeneration(const storage::DataFolder& folder) {
   const std::vector<std::string> names = folder.file_system().list(folder.path());
   std::uint64_t generation = 0;
-  while (std::find(names.begin(), names.end(), GroupName(generation + 1)) != names.end()) {
+  while (std::find(names.begin(), names.end(), StoredGroupName(generation + 1)) != names.end()) {
     ++generation;
   }
   return generation;
@@ -67,11 +67,11 @@
     : options_(std::move(options)),
       hooks_(std::move(hooks)),
       timers_(timers),
-      folder_(folder),
-      generation_(FindGeneration(folder)) {
-  options_.replica.target_voters = VotersNeeded();
+      data_folder_(folder),
+      generation_(FindNewestGeneration(folder)) {
+  options_.replica.target_voters = RequiredVoters();
   options_.replica.address_of = AddressOfStorage;
-  MakeHost();
+  CreateReplicaHost();
 }
 
 Member::~Member() {
@@ -83,9 +83,10 @@
   }
 }
 
-void Member::MakeHost() {
-  host_.reset();
-  storage_ = std::make_unique<replication::GroupStorage>(folder_, GroupName(generation_));
+void Member::CreateReplicaHost() {
+  replica_host_.reset();
+  storage_ =
+      std::make_unique<replication::GroupStorage>(data_folder_, StoredGroupName(generation_));
   replication::ReplicaHost::Dependencies dependencies;
   dependencies.clock = hooks_.clock;
   dependencies.random = hooks_.random;
@@ -102,7 +103,7 @@
   dependencies.send = [this](consensus::ReplicaId to, std::string bytes) {
     const std::string address = AddressOf(to);
     if (!address.empty()) {
-      Send(address, LogMessage{host_->status().replica, std::move(bytes)});
+      Send(address, ReplicationMessage{replica_host_->status().replica, std::move(bytes)});
     }
   };
   dependencies.on_soft_state = [this](const consensus::SoftState& state) {
@@ -111,30 +112,34 @@
                {"leader", AddressOf(state.leader)},
                {"term", static_cast<Json::UInt64>(state.term)}});
   };
-  host_ = std::make_unique<replication::ReplicaHost>(options_.replica, std::move(dependencies));
+  replica_host_ =
+      std::make_unique<replication::ReplicaHost>(options_.replica, std::move(dependencies));
 }
 
-std::size_t Member::VotersNeeded() const { return 2 * options_.tolerated_losses + 1; }
+std::size_t Member::RequiredVoters() const { return 2 * options_.tolerated_losses + 1; }
 
 void Member::Start() {
   try {
     if (replication::LoadConsistent(storage_->Hooks())) {
-      Open({replication::StartMode::kRestart, consensus::kNoReplica, {}}, "restart");
+      StartReplica({replication::StartMode::kRestart, consensus::kNoReplica, {}}, "restart");
       return;
     }
   } catch (const base::Error& error) {
-    throw ControlMemberError(std::string("cannot open the stored state: ") + error.what());
+    throw ControlMemberError(std::string("cannot start from the stored replica state: ") +
+                             error.what());
   }
-  // The seeds of a first start are the same for every host, so each founder can tell the founding
-  // membership alone. A seed that is not first started may have lost its disk and has to join.
+  // On a first start all hosts have the same seeds, so each seed derives the same initial
+  // membership without communication. A seed with an empty disk on any later start may have lost
+  // its disk, so it must join.
   std::vector<std::string> founders = options_.seeds;
   std::sort(founders.begin(), founders.end());
   founders.erase(std::unique(founders.begin(), founders.end()), founders.end());
-  const auto place = std::find(founders.begin(), founders.end(), options_.address);
-  if (options_.is_first_start && place != founders.end()) {
-    const auto replica = static_cast<consensus::ReplicaId>(place - founders.begin()) + 1;
-    Open({replication::StartMode::kBootstrap, replica, consensus::Membership::OfVoters(founders)},
-         "found");
+  const auto own_founder = std::find(founders.begin(), founders.end(), options_.address);
+  if (options_.is_first_start && own_founder != founders.end()) {
+    const auto replica = static_cast<consensus::ReplicaId>(own_founder - founders.begin()) + 1;
+    StartReplica(
+        {replication::StartMode::kBootstrap, replica, consensus::Membership::OfVoters(founders)},
+        "found");
     return;
   }
   BeginJoin();
@@ -143,24 +148,25 @@
 void Member::BeginJoin() {
   storage_name_ = fmt::format("{}{}{:016x}", options_.address, kStorageSeparator, hooks_.random());
   base::Log(base::LogLevel::kInfo, "control_member_joining", {{"storage", storage_name_}});
-  AskToJoin();
+  SendJoinRequests();
   if (!join_timer_) {
-    join_timer_ = timers_.SubscribeEvery(kJoinInterval, [this](base::TimePoint) { AskToJoin(); });
+    join_timer_ =
+        timers_.SubscribeEvery(kJoinInterval, [this](base::TimePoint) { SendJoinRequests(); });
   }
 }
 
-void Member::Open(const replication::StartPlan& plan, const char* mode) {
-  is_open_ = true;
-  host_->Start(plan);
+void Member::StartReplica(const replication::StartPlan& plan, const char* mode) {
+  is_replica_started_ = true;
+  replica_host_->Start(plan);
   base::Log(base::LogLevel::kInfo, "control_member_started",
             {{"mode", mode},
-             {"replica", static_cast<Json::UInt64>(host_->status().replica)},
+             {"replica", static_cast<Json::UInt64>(replica_host_->status().replica)},
              {"version", static_cast<Json::UInt64>(register_.version())}});
   hooks_.on_declaration();
 }
 
-void Member::AskToJoin() {
-  if (is_open_) {
+void Member::SendJoinRequests() {
+  if (is_replica_started_) {
     return;
   }
   for (const std::string& seed : options_.seeds) {
@@ -172,17 +178,17 @@
 
 void Member::Receive(const std::string& from, std::string_view bytes) {
   try {
-    const FormationMessage message = DecodeFormation(bytes);
-    if (const auto* log = std::get_if<LogMessage>(&message)) {
-      HandleLog(from, *log);
+    const FormationMessage message = DecodeFormationMessage(bytes);
+    if (const auto* replication_message = std::get_if<ReplicationMessage>(&message)) {
+      HandleReplicationMessage(from, *replication_message);
     } else if (const auto* request = std::get_if<JoinRequest>(&message)) {
       HandleJoinRequest(from, *request);
     } else if (const auto* answer = std::get_if<JoinAnswer>(&message)) {
-      if (!is_open_ && answer->storage == storage_name_) {
-        Open({replication::StartMode::kJoin, answer->replica, {}}, "join");
+      if (!is_replica_started_ && answer->storage == storage_name_) {
+        StartReplica({replication::StartMode::kJoin, answer->replica, {}}, "join");
       }
-    } else if (const auto* removal = std::get_if<Removal>(&message)) {
-      HandleRemoval(*removal);
+    } else if (const auto* removal = std::get_if<RemovalNotice>(&message)) {
+      HandleRemovalNotice(*removal);
     }
   } catch (const base::Error& error) {
     base::Log(base::LogLevel::kWarning, "control_message_refused",
@@ -190,50 +196,51 @@
   }
 }
 
-void Member::HandleLog(const std::string& from, const LogMessage& message) {
-  learned_[message.sender] = from;
-  if (!is_open_) {
+void Member::HandleReplicationMessage(const std::string& from, const ReplicationMessage& message) {
+  learned_addresses_[message.sender] = from;
+  if (!is_replica_started_) {
     return;
   }
-  const replication::HostStatus status = host_->status();
+  const replication::HostStatus status = replica_host_->status();
   const bool is_removed = status.soft_state.role == consensus::Role::kLeader &&
                           !status.membership.Contains(message.sender) &&
                           message.sender < status.membership.next_id();
   if (is_removed) {
-    Send(from, Removal{message.sender, status.soft_state.term});
+    Send(from, RemovalNotice{message.sender, status.soft_state.term});
     return;
   }
-  host_->Receive(message.bytes);
+  replica_host_->Receive(message.bytes);
 }
 
-// A replica that was removed while it was away starts anew as an empty one. Its old files stay, but
-// the next generation is used from now on.
-void Member::HandleRemoval(const Removal& removal) {
-  const replication::HostStatus status = host_->status();
-  const bool is_meant = is_open_ && !restart_timer_ && removal.replica == status.replica &&
-                        status.soft_state.leader == consensus::kNoReplica;
-  if (!is_meant) {
+// A replica that was removed while it was unreachable rejoins as an empty one. Its old files remain
+// on disk; the new replica stores its state under the next generation.
+void Member::HandleRemovalNotice(const RemovalNotice& removal) {
+  const replication::HostStatus status = replica_host_->status();
+  const bool is_applicable = is_replica_started_ && !restart_timer_ &&
+                             removal.replica == status.replica &&
+                             status.soft_state.leader == consensus::kNoReplica;
+  if (!is_applicable) {
     return;
   }
   base::Log(base::LogLevel::kWarning, "control_member_removed",
             {{"replica", static_cast<Json::UInt64>(removal.replica)},
              {"term", static_cast<Json::UInt64>(removal.term)}});
-  // The host must not be replaced while it handles a message.
+  // Deferred to a timer, because the replica host must not be replaced while it handles a message.
   restart_timer_ = timers_.SubscribeOnce(std::chrono::milliseconds(1), [this](base::TimePoint) {
     restart_timer_.reset();
-    is_open_ = false;
+    is_replica_started_ = false;
     ++generation_;
-    MakeHost();
+    CreateReplicaHost();
     BeginJoin();
   });
 }
 
 void Member::HandleJoinRequest(const std::string& from, const JoinRequest& request) {
-  if (!is_open_) {
+  if (!is_replica_started_) {
     return;
   }
-  const replication::HostStatus status = host_->status();
-  const std::string joiner = AddressOfStorage(request.storage);
+  const replication::HostStatus status = replica_host_->status();
+  const std::string joiner_address = AddressOfStorage(request.storage);
   if (status.soft_state.role != consensus::Role::kLeader) {
     const std::string leader = AddressOf(status.soft_state.leader);
     if (!request.is_forwarded && !leader.empty() && leader != from) {
@@ -244,19 +251,20 @@
   for (const auto& [replica, member] : status.membership.members()) {
     if (member.host == request.storage) {
       if (!member.is_voter) {
-        Send(joiner, JoinAnswer{request.storage, replica});
+        Send(joiner_address, JoinAnswer{request.storage, replica});
       }
       return;
     }
   }
-  host_->ProposeMembership(
+  replica_host_->ProposeMembership(
       {consensus::MembershipChangeKind::kAddLearner, consensus::kNoReplica, request.storage},
-      [this, joiner, storage = request.storage](const replication::ProposalOutcome& outcome) {
+      [this, joiner_address,
+       storage = request.storage](const replication::ProposalOutcome& outcome) {
         if (outcome.kind == replication::ProposalOutcomeKind::kCommitted) {
           base::Log(
               base::LogLevel::kInfo, "control_learner_added",
               {{"storage", storage}, {"replica", static_cast<Json::UInt64>(outcome.assigned)}});
-          Send(joiner, JoinAnswer{storage, outcome.assigned});
+          Send(joiner_address, JoinAnswer{storage, outcome.assigned});
         }
       });
 }
@@ -275,62 +283,66 @@
   return std::string(1, static_cast<char>(outcome));
 }
 
-void Member::Replace(const declaration::ReplaceCommand& command, OrderCallback callback) {
-  const replication::HostStatus status = host_->status();
-  if (!is_open_ || status.soft_state.role != consensus::Role::kLeader) {
-    callback(OrderStatus::kNotLeader);
+void Member::Replace(const declaration::ReplaceCommand& command, ReplaceCallback callback) {
+  const replication::HostStatus status = replica_host_->status();
+  if (!is_replica_started_ || status.soft_state.role != consensus::Role::kLeader) {
+    callback(ReplaceStatus::kNotLeader);
     return;
   }
-  // With one voter out for repair, a majority of the others still holds one disk more than may be
-  // lost. Before the first declaration no voter is out: the group is still growing.
+  // While one voter is being replaced, a majority of the remaining 2 * tolerated_losses voters
+  // still has one disk more than may be lost. Before the first declaration all voters are required,
+  // because the group is still forming.
   const std::size_t voters = status.membership.voter_count();
-  const std::size_t needed = register_.version() == 0 ? VotersNeeded() : VotersNeeded() - 1;
+  const std::size_t needed = register_.version() == 0 ? RequiredVoters() : RequiredVoters() - 1;
   if (voters < needed) {
     base::Log(base::LogLevel::kInfo, "declaration_deferred",
               {{"voters", static_cast<Json::UInt64>(voters)},
                {"needed", static_cast<Json::UInt64>(needed)}});
-    callback(OrderStatus::kUnavailable);
+    callback(ReplaceStatus::kUnavailable);
     return;
   }
-  host_->Propose(declaration::EncodeCommand(command),
-                 [callback = std::move(callback)](const replication::ProposalOutcome& outcome) {
-                   switch (outcome.kind) {
-                     case replication::ProposalOutcomeKind::kCommitted:
-                       callback(StatusOf(outcome.result));
-                       return;
-                     case replication::ProposalOutcomeKind::kNotLeader:
-                       callback(OrderStatus::kNotLeader);
-                       return;
-                     default:
-                       callback(OrderStatus::kUnavailable);
-                   }
-                 });
+  replica_host_->Propose(
+      declaration::EncodeCommand(command),
+      [callback = std::move(callback)](const replication::ProposalOutcome& outcome) {
+        switch (outcome.kind) {
+          case replication::ProposalOutcomeKind::kCommitted:
+            callback(StatusOf(outcome.result));
+            return;
+          case replication::ProposalOutcomeKind::kNotLeader:
+            callback(ReplaceStatus::kNotLeader);
+            return;
+          default:
+            callback(ReplaceStatus::kUnavailable);
+        }
+      });
 }
 
-void Member::ReadNewest(NewestCallback callback) {
-  if (!is_open_) {
+void Member::ReadNewest(ReadCallback callback) {
+  if (!is_replica_started_) {
     callback(nullptr);
     return;
   }
-  host_->Read([this, callback = std::move(callback)](const replication::ReadOutcome& outcome) {
-    callback(outcome.kind == replication::ReadOutcomeKind::kReady ? &register_ : nullptr);
-  });
+  replica_host_->Read(
+      [this, callback = std::move(callback)](const replication::ReadOutcome& outcome) {
+        callback(outcome.kind == replication::ReadOutcomeKind::kReady ? &register_ : nullptr);
+      });
 }
 
 void Member::Shutdown(std::function<void()> done) {
-  if (!is_open_) {
+  if (!is_replica_started_) {
     done();
     return;
   }
-  host_->Shutdown(std::move(done));
+  replica_host_->Shutdown(std::move(done));
 }
 
 bool Member::IsCurrent() const {
-  if (!is_open_) {
+  if (!is_replica_started_) {
     return false;
   }
-  const replication::HostStatus status = host_->status();
-  // A leader's first entry follows everything that was committed before it.
+  const replication::HostStatus status = replica_host_->status();
+  // The first entry of a leader's term follows all entries committed in earlier terms, so a host
+  // that has applied an entry of the current term has applied those too.
   const bool has_caught_up = status.applied_term == status.soft_state.term;
   return status.soft_state.leader != consensus::kNoReplica && has_caught_up &&
          status.membership.Contains(status.replica);
@@ -338,7 +350,7 @@
 
 std::vector<std::string> Member::ControlHosts() const {
   std::set<std::string> hosts = {options_.address};
-  const replication::HostStatus status = host_->status();
+  const replication::HostStatus status = replica_host_->status();
   for (const auto& [replica, member] : status.membership.members()) {
     hosts.insert(AddressOfStorage(member.host));
   }
@@ -349,26 +361,27 @@
   if (replica == consensus::kNoReplica) {
     return "";
   }
-  const replication::HostStatus status = host_->status();
+  const replication::HostStatus status = replica_host_->status();
   const auto member = status.membership.members().find(replica);
   if (member != status.membership.members().end()) {
     return AddressOfStorage(member->second.host);
   }
-  // A learner without entries knows the leader only from its messages.
-  const auto learned = learned_.find(replica);
-  return learned == learned_.end() ? "" : learned->second;
+  // A learner without log entries has no membership yet and knows the leader's address only from
+  // the messages that it received.
+  const auto learned = learned_addresses_.find(replica);
+  return learned == learned_addresses_.end() ? "" : learned->second;
 }
 
 void Member::Send(const std::string& address, const FormationMessage& message) {
-  hooks_.send(address, EncodeFormation(message));
+  hooks_.send(address, EncodeFormationMessage(message));
 }
 
 MemberStatus Member::status() const {
   MemberStatus status;
-  status.host = host_->status();
+  status.replica_host = replica_host_->status();
   status.is_formed =
-      register_.version() > 0 || status.host.membership.voter_count() >= VotersNeeded();
-  status.leader = AddressOf(status.host.soft_state.leader);
+      register_.version() > 0 || status.replica_host.membership.voter_count() >= RequiredVoters();
+  status.leader = AddressOf(status.replica_host.soft_state.leader);
   return status;
 }
 
--- a/libraries/control_member/member.h
+++ b/libraries/control_member/member.h
@@ -14,64 +14,64 @@
 
 namespace borageloft::control_member {
 
-/** Settings of a control host's membership. */
+/** Settings of a Member. */
 struct MemberOptions {
-  /** Address at which other control hosts reach this one; it names the host. */
+  /** Address at which other control hosts reach this one, which is also its name. */
   std::string address;
-  /** Addresses of control hosts to begin with. On a first start all hosts have the same list. */
+  /** Addresses of the control hosts to contact first; the same on all hosts on a first start. */
   std::vector<std::string> seeds;
-  /** Whether the whole system starts for the first time, with empty disks. */
+  /** Whether the whole system starts for the first time, with empty disks on all hosts. */
   bool is_first_start = false;
-  /** Disks that may be lost at once. */
+  /** Number of disks that may be lost at the same time without losing a declaration. */
   std::size_t tolerated_losses = 0;
   replication::ReplicaHostOptions replica;
 };
 
-/** Everything of a member that varies between production and tests. */
+/** Hooks of a Member. */
 struct MemberHooks {
   base::Clock clock;
   base::Random random;
   /** Sends bytes to the control host at an address; they may be lost. */
   std::function<void(const std::string& address, std::string bytes)> send;
-  /** Called after each change of the declaration in force here. */
+  /** Called after each change of the declaration applied on this host. */
   std::function<void()> on_declaration;
 };
 
-/** How an order ended. */
-enum class OrderStatus {
-  kAccepted,     // Durable on a majority, and in force.
+/** Outcome of a request to replace the declaration. */
+enum class ReplaceStatus {
+  kAccepted,     // Stored durably on a majority, and in force.
   kWrongBase,    // Refused: another version is in force.
-  kNotAbove,     // Refused: its version is not above the one in force.
-  kNotLeader,    // Without effect; the leader may be known.
-  kUnavailable,  // Without effect, or unknown: the group cannot accept now.
+  kNotAbove,     // Refused: the new version is not above the one in force.
+  kNotLeader,    // No effect; MemberStatus names the leader if it is known.
+  kUnavailable,  // No effect, or unknown: the group cannot accept a declaration now.
 };
 
-/** Receives the end of an order exactly once. */
-using OrderCallback = std::function<void(OrderStatus status)>;
+/** Receives the outcome of a replacement. Called exactly once. */
+using ReplaceCallback = std::function<void(ReplaceStatus status)>;
 
-/** Receives the declaration in force, or null if this host cannot be sure that it is the newest. */
-using NewestCallback = std::function<void(const declaration::DeclarationRegister* newest)>;
+/** Receives the newest declaration, or null if this host cannot confirm that it is the newest. */
+using ReadCallback = std::function<void(const declaration::DeclarationRegister* newest)>;
 
-/** State of a member, for status, metrics and logs. */
+/** State of a Member, for status, metrics and logs. */
 struct MemberStatus {
-  replication::HostStatus host;
-  bool is_formed = false;  ///< The group has been as large as its tolerance needs.
-  std::string leader;      ///< Address of the leader, or empty.
+  replication::HostStatus replica_host;
+  bool is_formed = false;  ///< Whether the group has had the voters that tolerated_losses requires.
+  std::string leader;      ///< Address of the leader, or empty if it is not known.
 };
 
 /**
- * A control host as a member of the group that keeps the declaration.
+ * A control host as a member of the replicated group that stores the declaration.
  *
- * The seeds found the group on a first start. Every other host, and one whose disk is empty for any
- * other reason, joins as a learner under a name drawn for its disk, so that a disk that was lost
- * never votes again under its old id. The first order is accepted once the group has
- * 2 * tolerated_losses + 1 voters. Driven by one thread; not thread-safe.
+ * On a first start the seeds form the group. Every other host, and every host whose disk is empty
+ * on a later start, joins as a learner under a random name for its disk, so that a host that lost
+ * its disk never votes again under its old replica id. The first declaration is accepted once the
+ * group has 2 * tolerated_losses + 1 voters. Not thread-safe.
  */
 class Member {
  public:
   /**
-   * @param folder Data folder, used by nobody else.
-   * @param timers Drives the member; both must outlive it.
+   * @param folder Data folder for the exclusive use of this member; must outlive it.
+   * @param timers Timers that drive the member; must outlive it.
    */
   Member(MemberOptions options, MemberHooks hooks, const storage::DataFolder& folder,
          timer::TimerService& timers);
@@ -81,29 +81,30 @@
   Member& operator=(const Member&) = delete;
 
   /**
-   * Starts from what is stored, or finds out how to start.
-   * @throws ControlMemberError if the storage cannot be opened.
+   * Restarts from the stored state. Without one, forms the group on a first start as a seed, or
+   * asks the seeds to join.
+   * @throws ControlMemberError if the stored state cannot be loaded.
    */
   void Start();
 
-  /** Handles a message of the control host at @p from. */
+  /** Handles a message of the control host at @p from; malformed ones are logged and dropped. */
   void Receive(const std::string& from, std::string_view bytes);
 
-  /** Replaces the declaration, if this host leads. */
-  void Replace(const declaration::ReplaceCommand& command, OrderCallback callback);
+  /** Replaces the declaration if this host is the leader; @p callback receives the outcome. */
+  void Replace(const declaration::ReplaceCommand& command, ReplaceCallback callback);
 
-  /** Finds the newest declaration, if this host leads. */
-  void ReadNewest(NewestCallback callback);
+  /** Reads the newest declaration if this host is the leader; @p callback receives it. */
+  void ReadNewest(ReadCallback callback);
 
-  /** Replaces the list of control hosts to begin with; it may name other hosts than before. */
+  /** Replaces the control hosts to contact first; the new list may name different hosts. */
   void set_seeds(std::vector<std::string> seeds) { options_.seeds = std::move(seeds); }
 
-  /** Hands leadership over and stops. */
+  /** Transfers leadership and stops; @p done is called once stopped. */
   void Shutdown(std::function<void()> done);
 
   /**
-   * @return Whether this host leads or heard the leader within an election timeout, and has applied
-   *     all that was acknowledged before that leader was elected.
+   * @return Whether this host is the leader or has heard from it within an election timeout, and
+   * has applied everything acknowledged before that leader was elected.
    */
   bool IsCurrent() const;
 
@@ -116,29 +117,31 @@
   MemberStatus status() const;
 
  private:
-  void MakeHost();
-  void Open(const replication::StartPlan& plan, const char* mode);
+  void CreateReplicaHost();
+  void StartReplica(const replication::StartPlan& plan, const char* mode);
   void BeginJoin();
-  void HandleLog(const std::string& from, const LogMessage& message);
-  void HandleRemoval(const Removal& removal);
-  void AskToJoin();
+  void HandleReplicationMessage(const std::string& from, const ReplicationMessage& message);
+  void HandleRemovalNotice(const RemovalNotice& removal);
+  void SendJoinRequests();
   void HandleJoinRequest(const std::string& from, const JoinRequest& request);
   std::string Apply(const std::string& command);
   std::string AddressOf(consensus::ReplicaId replica) const;
-  std::size_t VotersNeeded() const;
+  std::size_t RequiredVoters() const;
   void Send(const std::string& address, const FormationMessage& message);
 
   MemberOptions options_;
   MemberHooks hooks_;
   timer::TimerService& timers_;
-  const storage::DataFolder& folder_;
-  std::uint64_t generation_ = 0;  // Of the stored state; a removed replica starts the next one.
+  const storage::DataFolder& data_folder_;
+  // Generation of the stored state; a removed replica rejoins with the next one.
+  std::uint64_t generation_ = 0;
   std::unique_ptr<replication::GroupStorage> storage_;
-  std::unique_ptr<replication::ReplicaHost> host_;
+  std::unique_ptr<replication::ReplicaHost> replica_host_;
   declaration::DeclarationRegister register_;
-  std::string storage_name_;  // Of a disk that asks to join.
-  bool is_open_ = false;
-  std::map<consensus::ReplicaId, std::string> learned_;  // Addresses of replicas heard of.
+  std::string storage_name_;  // Name under which this host's disk asks to join.
+  bool is_replica_started_ = false;
+  // Addresses from which replicas sent messages.
+  std::map<consensus::ReplicaId, std::string> learned_addresses_;
   std::optional<timer::SubscriptionId> join_timer_;
   std::optional<timer::SubscriptionId> restart_timer_;
 };
--- a/libraries/mesh/control_node.cc
+++ b/libraries/mesh/control_node.cc
@@ -151,7 +151,7 @@
 
 void ControlNode::HandleReplace(const ReplaceCall& call, const std::string& target,
                                 const http_stream::Exchange& exchange) {
-  if (member_->status().host.soft_state.role != consensus::Role::kLeader) {
+  if (member_->status().replica_host.soft_state.role != consensus::Role::kLeader) {
     Redirect(target, exchange);
     return;
   }
@@ -163,25 +163,25 @@
     return;
   }
   member_->Replace(call.command, [this, exchange, target,
-                                  command = call.command](control_member::OrderStatus status) {
+                                  command = call.command](control_member::ReplaceStatus status) {
     base::Log(base::LogLevel::kInfo, "declaration_order",
               {{"base", static_cast<Json::UInt64>(command.base)},
                {"version", static_cast<Json::UInt64>(command.version)},
                {"status", static_cast<int>(status)}});
     switch (status) {
-      case control_member::OrderStatus::kAccepted:
+      case control_member::ReplaceStatus::kAccepted:
         Respond(exchange, kOk, dialect_.acknowledgement);
         return;
-      case control_member::OrderStatus::kWrongBase:
+      case control_member::ReplaceStatus::kWrongBase:
         Respond(exchange, kPreconditionFailed, "another version is in force");
         return;
-      case control_member::OrderStatus::kNotAbove:
+      case control_member::ReplaceStatus::kNotAbove:
         Respond(exchange, kBadRequest, "the version is not above the one in force");
         return;
-      case control_member::OrderStatus::kNotLeader:
+      case control_member::ReplaceStatus::kNotLeader:
         Redirect(target, exchange);
         return;
-      case control_member::OrderStatus::kUnavailable:
+      case control_member::ReplaceStatus::kUnavailable:
         Respond(exchange, kServiceUnavailable, "the group cannot accept now");
         return;
     }
@@ -189,7 +189,7 @@
 }
 
 void ControlNode::HandleRead(const std::string& target, const http_stream::Exchange& exchange) {
-  if (member_->status().host.soft_state.role != consensus::Role::kLeader) {
+  if (member_->status().replica_host.soft_state.role != consensus::Role::kLeader) {
     Redirect(target, exchange);
     return;
   }
@@ -256,15 +256,15 @@
   const control_member::MemberStatus status = member_->status();
   MetricsText text;
   text.Add("borageloft_control_term", "Term of the replica",
-           static_cast<std::uint64_t>(status.host.soft_state.term));
+           static_cast<std::uint64_t>(status.replica_host.soft_state.term));
   text.Add("borageloft_control_is_leader", "Whether this host leads",
-           status.host.soft_state.role == consensus::Role::kLeader ? 1 : 0);
+           status.replica_host.soft_state.role == consensus::Role::kLeader ? 1 : 0);
   text.Add("borageloft_control_voters", "Voters of the group",
-           status.host.membership.voter_count());
-  text.Add("borageloft_control_commit", "Committed index", status.host.commit);
-  text.Add("borageloft_control_applied", "Applied index", status.host.applied);
+           status.replica_host.membership.voter_count());
+  text.Add("borageloft_control_commit", "Committed index", status.replica_host.commit);
+  text.Add("borageloft_control_applied", "Applied index", status.replica_host.applied);
   text.Add("borageloft_control_storage_failures_total", "Failures of the storage",
-           status.host.storage_failures);
+           status.replica_host.storage_failures);
   text.Add("borageloft_declaration_version", "Declaration applied", member_->applied().version());
   text.Add("borageloft_nodes_known", "Nodes in the registry", registry_.size());
   http_stream::ResponseMessage response;
--- a/tests/control_member/member_test.cc
+++ b/tests/control_member/member_test.cc
@@ -14,58 +14,59 @@
 
 const std::vector<std::string> kHosts = {"c1", "c2", "c3", "c4", "c5"};
 
-void Form(World& world) {
+void FormGroup(World& world) {
   for (const std::string& host : kHosts) {
     world.Start(host, true);
     world.Advance(milliseconds(base::DrawBelow(world.random, 60)));
   }
-  ASSERT_TRUE(world.AdvanceUntil(seconds(8), [&] { return world.Voters() == 5; }));
+  ASSERT_TRUE(world.AdvanceUntil(seconds(8), [&] { return world.VoterCount() == 5; }));
 }
 
-void OrderUntilAcknowledged(World& world, milliseconds limit) {
+void ReplaceUntilAcknowledged(World& world, milliseconds limit) {
   const declaration::Version before = world.acknowledged();
   ASSERT_TRUE(world.AdvanceUntil(limit, [&] {
-    world.Order();
+    world.ReplaceDeclaration();
     world.Advance(milliseconds(50));
     return world.acknowledged() > before;
   }));
 }
 
-// Guards against a group that does not form from seeds alone before the first order is due.
-TEST(MemberTest, SeedsFoundTheGroupAndTheOthersJoin) {
+// Guards against a group that cannot form from its seeds alone before the first declaration
+// arrives.
+TEST(MemberTest, SeedsFormTheGroupAndOtherHostsJoin) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE(seed);
     World world(seed);
-    Form(world);
-    OrderUntilAcknowledged(world, seconds(2));
+    FormGroup(world);
+    ReplaceUntilAcknowledged(world, seconds(2));
   }
 }
 
-// Guards against an acknowledgement on fewer disks than the tolerance needs.
+// Guards against acknowledging a declaration that is on fewer disks than tolerated_losses requires.
 TEST(MemberTest, NothingIsAcknowledgedBeforeTheGroupIsLargeEnough) {
   World world(3);
   for (const char* host : {"c1", "c2", "c3", "c4"}) {
     world.Start(host, true);
   }
-  ASSERT_TRUE(world.AdvanceUntil(seconds(8), [&] { return world.Voters() == 4; }));
+  ASSERT_TRUE(world.AdvanceUntil(seconds(8), [&] { return world.VoterCount() == 4; }));
   for (int i = 0; i < 50; ++i) {
-    world.Order();
+    world.ReplaceDeclaration();
     world.Advance(milliseconds(50));
   }
   EXPECT_EQ(world.acknowledged(), 0U);
   world.Start("c5", true);
-  OrderUntilAcknowledged(world, seconds(5));
+  ReplaceUntilAcknowledged(world, seconds(5));
 }
 
-// Guards against a lost acknowledgement when two disks vanish right behind it while every other
-// host loses power.
-TEST(MemberTest, TwoDisksMayVanishRightAfterAnAcknowledgement) {
+// Guards against losing an acknowledged declaration when two disks are lost right after the
+// acknowledgement while all other hosts lose power.
+TEST(MemberTest, AcknowledgedDeclarationSurvivesTheLossOfTwoDisks) {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     SCOPED_TRACE(seed);
     World world(seed);
-    Form(world);
-    for (int order = 0; order < 3; ++order) {
-      OrderUntilAcknowledged(world, seconds(3));
+    FormGroup(world);
+    for (int replacement = 0; replacement < 3; ++replacement) {
+      ReplaceUntilAcknowledged(world, seconds(3));
     }
     std::vector<std::string> hosts = kHosts;
     for (std::size_t i = hosts.size() - 1; i > 0; --i) {
@@ -73,7 +74,7 @@
     }
     for (std::size_t i = 0; i < hosts.size(); ++i) {
       if (i < 2) {
-        world.Wipe(hosts[i]);
+        world.WipeDisk(hosts[i]);
       } else {
         world.Kill(hosts[i], PowerLoss::kLoseUnsynced);
       }
@@ -82,25 +83,25 @@
       world.Start(host, false);
       world.Advance(milliseconds(base::DrawBelow(world.random, 300)));
     }
-    ASSERT_TRUE(world.AdvanceUntil(seconds(10), [&] { return world.IsWhole(); }));
+    ASSERT_TRUE(world.AdvanceUntil(seconds(10), [&] { return world.HasAllVoters(); }));
     world.CheckReads();
     world.Advance(seconds(1));
-    OrderUntilAcknowledged(world, seconds(5));
+    ReplaceUntilAcknowledged(world, seconds(5));
   }
 }
 
-// Guards against an outage that outlives a power loss of the whole group by more than half a second
-// without a split vote, or by more than the 2 s of a failover with one; and against a host that
-// passes for current before it has applied what was acknowledged.
-TEST(MemberTest, ARestartedGroupLeadsSoonAndIsCurrentOnlyWithTheNewest) {
+// Guards against a group that, after a power loss of all hosts, stays unavailable for more than
+// half a second without a split vote, or for more than the 2 s of a failover with one; and against
+// a host that reports itself as current before it has applied everything acknowledged.
+TEST(MemberTest, RestartedGroupRecoversSoonAndOnlyWithTheNewestDeclaration) {
   constexpr int kSeeds = 30;
-  int soon = 0;
+  int fast_recoveries = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SCOPED_TRACE(seed);
     World world(seed);
-    Form(world);
-    for (int order = 0; order < 3; ++order) {
-      OrderUntilAcknowledged(world, seconds(3));
+    FormGroup(world);
+    for (int replacement = 0; replacement < 3; ++replacement) {
+      ReplaceUntilAcknowledged(world, seconds(3));
     }
     for (const std::string& host : kHosts) {
       world.Kill(host, PowerLoss::kLoseUnsynced);
@@ -118,24 +119,24 @@
       }
       return is_any_current;
     };
-    soon += world.AdvanceUntil(milliseconds(500), is_served) ? 1 : 0;
+    fast_recoveries += world.AdvanceUntil(milliseconds(500), is_served) ? 1 : 0;
     ASSERT_TRUE(world.AdvanceUntil(milliseconds(1500), is_served));
   }
-  // Votes are split in few runs.
-  EXPECT_GE(soon, kSeeds * 9 / 10);
+  // Split votes delay the election in a few runs.
+  EXPECT_GE(fast_recoveries, kSeeds * 9 / 10);
 }
 
-// Guards against a group that shrinks for good when a host is replaced at another address, and
-// against a replica that was removed and stays outside when its host comes back.
-TEST(MemberTest, AReplacementTakesThePlaceOfASilentHost) {
+// Guards against a group that stays smaller after a host was replaced by one at another address,
+// and against a removed replica that does not rejoin when its host comes back.
+TEST(MemberTest, ReplacementHostJoinsInsteadOfASilentHost) {
   World world(5);
-  Form(world);
-  OrderUntilAcknowledged(world, seconds(3));
+  FormGroup(world);
+  ReplaceUntilAcknowledged(world, seconds(3));
   world.Kill("c2");
   world.Start("c6", false);
   ASSERT_TRUE(world.AdvanceUntil(seconds(8), [&] {
-    return world.Voters() == 5 &&
-           world.member(world.Leader()).status().host.membership.members().size() == 5;
+    return world.VoterCount() == 5 &&
+           world.member(world.Leader()).status().replica_host.membership.members().size() == 5;
   }));
   world.Start("c2", false);
   ASSERT_TRUE(world.AdvanceUntil(seconds(8), [&] {
@@ -145,25 +146,25 @@
   }));
   world.Advance(seconds(1));
   world.Kill("c3");
-  EXPECT_TRUE(world.AdvanceUntil(seconds(8), [&] { return world.Voters() == 5; }));
-  OrderUntilAcknowledged(world, seconds(5));
+  EXPECT_TRUE(world.AdvanceUntil(seconds(8), [&] { return world.VoterCount() == 5; }));
+  ReplaceUntilAcknowledged(world, seconds(5));
 }
 
-// Guards against an older declaration that is read on the side of a cut that holds the old leader.
-TEST(MemberTest, ACutLeaderReadsNothingOld) {
+// Guards against reading a stale declaration from the old leader during a network partition.
+TEST(MemberTest, PartitionedLeaderServesNoStaleRead) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     World world(seed);
-    Form(world);
-    OrderUntilAcknowledged(world, seconds(3));
+    FormGroup(world);
+    ReplaceUntilAcknowledged(world, seconds(3));
     const std::string old_leader = world.Leader();
-    world.SetCut(old_leader, true);
+    world.SetPartitioned(old_leader, true);
     ASSERT_TRUE(world.AdvanceUntil(seconds(5), [&] {
       world.CheckReads();
       return world.Leader() != old_leader;
     }));
-    OrderUntilAcknowledged(world, seconds(5));
+    ReplaceUntilAcknowledged(world, seconds(5));
     world.CheckReads();
-    world.SetCut(old_leader, false);
+    world.SetPartitioned(old_leader, false);
     for (int i = 0; i < 100; ++i) {
       world.Advance(milliseconds(20));
       world.CheckReads();
@@ -171,17 +172,17 @@
   }
 }
 
-// Guards against any mix of kills, power losses, cuts and wiped disks within the tolerance that
-// loses what was acknowledged or shows it in an older state.
+// Guards against losing an acknowledged declaration, or reading a stale one, under any mix of
+// killed processes, power losses, partitions and wiped disks that tolerated_losses allows.
 TEST(MemberTest, RandomFaultsLoseNothingAcknowledged) {
   const char* seeds = std::getenv("CONTROL_MEMBER_SEEDS");
   const std::uint64_t count = seeds == nullptr ? 25 : std::strtoull(seeds, nullptr, 10);
   for (std::uint64_t seed = 1; seed <= count; ++seed) {
     SCOPED_TRACE(seed);
     World world(seed);
-    Form(world);
+    FormGroup(world);
     for (int round = 0; round < 25; ++round) {
-      world.Order();
+      world.ReplaceDeclaration();
       world.CheckReads();
       const std::string& host = kHosts[base::DrawBelow(world.random, kHosts.size())];
       const std::uint64_t fault = base::DrawBelow(world.random, 8);
@@ -191,11 +192,11 @@
         world.Advance(pause);
         world.Start(host, false);
       } else if (fault == 2) {
-        world.SetCut(host, true);
-        world.Order();
+        world.SetPartitioned(host, true);
+        world.ReplaceDeclaration();
         world.Advance(pause);
         world.CheckReads();
-        world.SetCut(host, false);
+        world.SetPartitioned(host, false);
       } else if (fault == 3) {
         for (const std::string& each : kHosts) {
           world.Kill(each, PowerLoss::kTearUnsynced);
@@ -205,30 +206,30 @@
           world.Advance(milliseconds(base::DrawBelow(world.random, 100)));
         }
       } else if (fault == 4) {
-        // Two disks at once, after the group has repaired itself.
-        ASSERT_TRUE(world.AdvanceUntil(seconds(15), [&] { return world.IsWhole(); }));
-        world.Order();
+        // Wipes two disks at once, after the group has replaced its lost voters.
+        ASSERT_TRUE(world.AdvanceUntil(seconds(15), [&] { return world.HasAllVoters(); }));
+        world.ReplaceDeclaration();
         world.Advance(milliseconds(base::DrawBelow(world.random, 60)));
         const std::string& other = kHosts[base::DrawBelow(world.random, kHosts.size())];
-        world.Wipe(host);
-        world.Wipe(other);
+        world.WipeDisk(host);
+        world.WipeDisk(other);
         world.Advance(pause);
         world.Start(host, false);
         if (other != host) {
           world.Start(other, false);
         }
-        ASSERT_TRUE(world.AdvanceUntil(seconds(15), [&] { return world.IsWhole(); }));
+        ASSERT_TRUE(world.AdvanceUntil(seconds(15), [&] { return world.HasAllVoters(); }));
       }
       for (int i = 0; i < 20; ++i) {
         world.Advance(milliseconds(20));
         world.CheckReads();
         if (i % 5 == 0) {
-          world.Order();
+          world.ReplaceDeclaration();
         }
       }
     }
-    ASSERT_TRUE(world.AdvanceUntil(seconds(15), [&] { return world.IsWhole(); }));
-    OrderUntilAcknowledged(world, seconds(5));
+    ASSERT_TRUE(world.AdvanceUntil(seconds(15), [&] { return world.HasAllVoters(); }));
+    ReplaceUntilAcknowledged(world, seconds(5));
     world.CheckReads();
     world.Advance(seconds(1));
   }
--- a/tests/control_member/world.cc
+++ b/tests/control_member/world.cc
@@ -30,7 +30,7 @@
   host.hooks = std::make_unique<storage::FileSystem>(host.disk->Hooks());
   host.folder = std::make_unique<storage::DataFolder>(*host.hooks, "/data");
   host.timers = std::make_unique<timer::TimerService>([this] { return now_; });
-  host.life = ++lives_;
+  host.incarnation = ++last_incarnation_;
   MemberOptions options;
   options.address = address;
   options.seeds = kSeeds;
@@ -41,11 +41,11 @@
   hooks.random = base::SeededRandom(random());
   hooks.send = [this, address](const std::string& to, std::string bytes) {
     const auto target = hosts_.find(to);
-    const bool is_lost = target == hosts_.end() || hosts_[address].is_cut ||
-                         target->second.is_cut || base::DrawBelow(random, 100) < 2;
+    const bool is_lost = target == hosts_.end() || hosts_[address].is_partitioned ||
+                         target->second.is_partitioned || base::DrawBelow(random, 100) < 2;
     if (!is_lost) {
       packets_.push_back({now_ + std::chrono::milliseconds(1 + base::DrawBelow(random, 12)),
-                          address, to, std::move(bytes), target->second.life});
+                          address, to, std::move(bytes), target->second.incarnation});
     }
   };
   hooks.on_declaration = [] {};
@@ -59,18 +59,20 @@
   host.member.reset();
   host.timers.reset();
   host.folder.reset();
-  host.life = ++lives_;
+  host.incarnation = ++last_incarnation_;
   if (loss && host.disk) {
     host.disk->LosePower(*loss);
   }
 }
 
-void World::Wipe(const std::string& address) {
+void World::WipeDisk(const std::string& address) {
   Kill(address);
   hosts_.at(address).disk.reset();
 }
 
-void World::SetCut(const std::string& address, bool is_cut) { hosts_.at(address).is_cut = is_cut; }
+void World::SetPartitioned(const std::string& address, bool is_partitioned) {
+  hosts_.at(address).is_partitioned = is_partitioned;
+}
 
 void World::Advance(std::chrono::milliseconds time) {
   const base::TimePoint end = now_ + time;
@@ -92,7 +94,7 @@
     Host& target = hosts_.at(packet.to);
     if (packet.due > now_) {
       packets_.push_back(std::move(packet));
-    } else if (target.member && target.life == packet.life) {
+    } else if (target.member && target.incarnation == packet.incarnation) {
       target.member->Receive(packet.from, packet.bytes);
     }
   }
@@ -105,7 +107,7 @@
     if (!host.member) {
       continue;
     }
-    const consensus::SoftState state = host.member->status().host.soft_state;
+    const consensus::SoftState state = host.member->status().replica_host.soft_state;
     if (state.role == consensus::Role::kLeader && state.term > term) {
       leader = address;
       term = state.term;
@@ -114,26 +116,29 @@
   return leader;
 }
 
-std::size_t World::Voters() const {
+std::size_t World::VoterCount() const {
   const std::string leader = Leader();
-  return leader.empty() ? 0 : hosts_.at(leader).member->status().host.membership.voter_count();
+  return leader.empty() ? 0
+                        : hosts_.at(leader).member->status().replica_host.membership.voter_count();
 }
 
-bool World::IsWhole() const {
+bool World::HasAllVoters() const {
   const std::string leader = Leader();
   if (leader.empty()) {
     return false;
   }
-  const consensus::Membership membership = hosts_.at(leader).member->status().host.membership;
-  std::size_t live = 0;
+  const consensus::Membership membership =
+      hosts_.at(leader).member->status().replica_host.membership;
+  std::size_t running_voters = 0;
   for (const auto& [address, host] : hosts_) {
-    const bool is_voter = host.member && membership.IsVoter(host.member->status().host.replica);
-    live += is_voter ? 1 : 0;
+    const bool is_voter =
+        host.member && membership.IsVoter(host.member->status().replica_host.replica);
+    running_voters += is_voter ? 1 : 0;
   }
-  return live == 5 && membership.members().size() == 5;
+  return running_voters == 5 && membership.members().size() == 5;
 }
 
-void World::Order() {
+void World::ReplaceDeclaration() {
   const std::string leader = Leader();
   if (leader.empty()) {
     return;
@@ -142,10 +147,10 @@
   const declaration::Version version = base + 1 + base::DrawBelow(random, 3) + next_version_++ % 2;
   const std::string text = "declaration " + std::to_string(random());
   hosts_.at(leader).member->Replace({base, version, text},
-                                    [this, version, text](OrderStatus status) {
-                                      if (status == OrderStatus::kAccepted) {
-                                        // A leader that lost contact may tell an earlier success
-                                        // after a later one.
+                                    [this, version, text](ReplaceStatus status) {
+                                      if (status == ReplaceStatus::kAccepted) {
+                                        // A leader that lost contact may report an older success
+                                        // after a newer one.
                                         acknowledged_ = std::max(acknowledged_, version);
                                         texts_[version] = text;
                                       }
@@ -157,12 +162,13 @@
     if (!host.member) {
       continue;
     }
-    host.member->ReadNewest([this, least = acknowledged_,
+    host.member->ReadNewest([this, minimum_version = acknowledged_,
                              address = address](const declaration::DeclarationRegister* newest) {
       if (newest == nullptr) {
         return;
       }
-      EXPECT_GE(newest->version(), least) << "an older declaration was read at " << address;
+      EXPECT_GE(newest->version(), minimum_version)
+          << "a stale declaration was read at " << address;
       if (const auto text = texts_.find(newest->version()); text != texts_.end()) {
         EXPECT_EQ(newest->text(), text->second);
       }
--- a/tests/control_member/world.h
+++ b/tests/control_member/world.h
@@ -14,20 +14,23 @@
 
 namespace borageloft::control_member {
 
-/** Control hosts on a manual clock, with disks that lose what was not synced and links that cut. */
+/**
+ * Simulates a group of control hosts on a manual clock, with disks that lose unsynced data and a
+ * network that delays, loses and partitions messages.
+ */
 class World {
  public:
   explicit World(std::uint64_t seed);
   ~World();
 
-  /** Starts a host at @p address; its disk is kept from an earlier life, if there was one. */
+  /** Starts a host at @p address, with the disk of its previous process if there is one. */
   void Start(const std::string& address, bool is_first_start);
-  /** Ends a host's process; with @p loss its machine loses power. */
+  /** Kills a host's process; if @p loss is given, the machine also loses power. */
   void Kill(const std::string& address, std::optional<storage::PowerLoss> loss = {});
-  /** Ends a host's process and empties its disk. */
-  void Wipe(const std::string& address);
-  /** Cuts or joins a host from all others. */
-  void SetCut(const std::string& address, bool is_cut);
+  /** Kills a host's process and replaces its disk by an empty one. */
+  void WipeDisk(const std::string& address);
+  /** Partitions a host from all others, or ends its partition. */
+  void SetPartitioned(const std::string& address, bool is_partitioned);
 
   void Advance(std::chrono::milliseconds time);
   /** Advances until @p condition holds. @return Whether it did within @p limit. */
@@ -40,20 +43,21 @@
     return condition();
   }
 
-  /** @return Address of a host that leads, or empty. */
+  /** @return Address of the leader with the highest term, or empty. */
   std::string Leader() const;
-  /** Orders the next declaration at the leader. It is counted when it is acknowledged. */
-  void Order();
-  /** Checks a read at every host that answers one: it must show what was acknowledged before. */
+  /** Sends the next declaration to the leader, if there is one, and records its acknowledgement. */
+  void ReplaceDeclaration();
+  /** Checks that every host that answers a read returns a declaration no older than the newest
+   * acknowledged one. */
   void CheckReads();
 
   bool IsRunning(const std::string& address) const { return hosts_.at(address).member != nullptr; }
   Member& member(const std::string& address) { return *hosts_.at(address).member; }
-  /** @return Newest version that was acknowledged. */
+  /** @return Newest acknowledged version, 0 before the first one. */
   declaration::Version acknowledged() const { return acknowledged_; }
-  std::size_t Voters() const;
-  /** @return Whether the group has five voters, all of them running with their disks. */
-  bool IsWhole() const;
+  std::size_t VoterCount() const;
+  /** @return Whether the group has five members, all of them running voters. */
+  bool HasAllVoters() const;
 
   base::Random random;
 
@@ -64,15 +68,15 @@
     std::unique_ptr<storage::DataFolder> folder;
     std::unique_ptr<timer::TimerService> timers;
     std::unique_ptr<Member> member;
-    bool is_cut = false;
-    std::uint64_t life = 0;
+    bool is_partitioned = false;
+    std::uint64_t incarnation = 0;
   };
   struct Packet {
     base::TimePoint due;
     std::string from;
     std::string to;
     std::string bytes;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
   };
 
   void Deliver();
@@ -80,7 +84,7 @@
   base::TimePoint now_{std::chrono::seconds(1000)};
   std::map<std::string, Host> hosts_;
   std::deque<Packet> packets_;
-  std::uint64_t lives_ = 0;
+  std::uint64_t last_incarnation_ = 0;
   declaration::Version next_version_ = 1;
   declaration::Version acknowledged_ = 0;
   std::map<declaration::Version, std::string> texts_;
