--- a/libraries/mesh/directory_sync.cc
+++ b/libraries/mesh/directory_sync.cc
@@ -50,7 +50,7 @@
       next = hosts_.begin();
     }
     last_polled_ = *next;
-    unsigned& unanswered = unanswered_requests_[last_polled_];
+    unsigned& unanswered = unanswered_rounds_[last_polled_];
     const bool is_skipped = unanswered > 1 && unanswered % (kSkippedRoundsPerPoll + 1) != 0;
     if (!is_skipped || round + 1 == hosts_.size()) {
       SendSyncRequest(last_polled_);
@@ -67,12 +67,12 @@
   request.known_version = version_;
   request.registry_epoch = position.epoch;
   request.registry_revision = position.revision;
-  ++unanswered_requests_[host];
+  ++unanswered_rounds_[host];
   hooks_.send(host, directory::Encode(request));
 }
 
 void DirectorySync::Receive(const std::string& from, const directory::SyncAnswer& answer) {
-  unanswered_requests_[from] = 0;
+  unanswered_rounds_[from] = 0;
   if (!last_answers_.contains(from)) {
     base::Log(base::LogLevel::kInfo, "control_host_found", {{"host", from}});
   }
--- a/libraries/mesh/directory_sync.h
+++ b/libraries/mesh/directory_sync.h
@@ -79,7 +79,8 @@
   directory::InstanceRecord record_;
   std::set<std::string> hosts_;
   std::map<std::string, base::TimePoint> last_answers_;
-  std::map<std::string, unsigned> unanswered_requests_;  // Consecutive requests without an answer.
+  // Requests and skipped rounds since the last answer.
+  std::map<std::string, unsigned> unanswered_rounds_;
   std::string last_polled_;
   std::uint64_t version_ = 0;
   bool has_current_answer_ = false;  // A control host in contact with the leader has answered.
