--- a/libraries/consensus/codec.cc
+++ b/libraries/consensus/codec.cc
@@ -15,7 +15,7 @@
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
-// Deepest nesting: message, body, membership, member list, member.
+// The deepest nesting is message, body, membership, member list, member.
 constexpr std::size_t kMaxDepth = 6;
 constexpr std::size_t kMaxRecordBytes = kMaxSnapshotBytes + kMaxCommandBytes;
 
@@ -29,7 +29,7 @@
  public:
   ArrayReader(const msgpack::object& object, std::size_t size) : ArrayReader(object) {
     if (array_.size != size) {
-      throw ConsensusError(fmt::format("array has {} fields instead of {}", array_.size, size));
+      throw ConsensusError(fmt::format("array has {} fields, expected {}", array_.size, size));
     }
   }
 
@@ -52,7 +52,7 @@
   std::uint64_t Number(std::uint64_t max = std::numeric_limits<std::uint64_t>::max()) {
     const msgpack::object& object = Next();
     if (object.type != msgpack::type::POSITIVE_INTEGER || object.via.u64 > max) {
-      throw ConsensusError(fmt::format("field is not a number up to {}", max));
+      throw ConsensusError(fmt::format("field is not an unsigned integer of at most {}", max));
     }
     return object.via.u64;
   }
@@ -68,7 +68,7 @@
   std::string Bytes(std::size_t max) {
     const msgpack::object& object = Next();
     if (object.type != msgpack::type::BIN || object.via.bin.size > max) {
-      throw ConsensusError(fmt::format("field is not a byte string of up to {} bytes", max));
+      throw ConsensusError(fmt::format("field is not a byte string of at most {} bytes", max));
     }
     return {object.via.bin.ptr, object.via.bin.size};
   }
@@ -97,7 +97,7 @@
     const ReplicaId id = item.Number();
     const bool is_voter = item.Boolean();
     if (!members.emplace(id, Member{item.Bytes(kMaxHostBytes), is_voter}).second) {
-      throw ConsensusError("membership names a replica twice");
+      throw ConsensusError("membership has a duplicate replica id");
     }
   }
   return Membership::FromParts(std::move(members), next_id);
@@ -107,17 +107,18 @@
 template <typename Read>
 auto Parse(std::string_view bytes, std::size_t max_bytes, Read read) {
   if (bytes.size() > max_bytes) {
-    throw ConsensusError(fmt::format("{} bytes exceed the bound of {}", bytes.size(), max_bytes));
+    throw ConsensusError(fmt::format("encoded value of {} bytes exceeds the limit of {} bytes",
+                                     bytes.size(), max_bytes));
   }
   try {
     std::size_t offset = 0;
     const msgpack::unpack_limit limit(kMaxEntriesPerMessage, 0, 0, max_bytes, 0, kMaxDepth);
-    // Byte strings refer to the input instead of a copy; the readers copy what they keep.
+    // Byte strings reference the input and are not copied here; the readers copy what they keep.
     const msgpack::object_handle handle = msgpack::unpack(
         bytes.data(), bytes.size(), offset,
         [](msgpack::type::object_type, std::size_t, void*) { return true; }, nullptr, limit);
     if (offset != bytes.size()) {
-      throw ConsensusError("bytes follow the encoded value");
+      throw ConsensusError("trailing bytes after the encoded value");
     }
     return read(handle.get());
   } catch (const msgpack::unpack_error& error) {
@@ -176,14 +177,14 @@
 AppendRequest ReadAppendRequest(const msgpack::object& object) {
   ArrayReader reader(object, 5);
   AppendRequest body;
-  // The bound keeps the indexes of the entries from wrapping around.
+  // The limit keeps the indexes of the entries from overflowing.
   body.previous_index = reader.Number(std::numeric_limits<std::uint64_t>::max() / 2);
   body.previous_term = reader.Number();
   body.commit = reader.Number();
   body.commit_term = reader.Number();
   ArrayReader list(reader.Next());
   body.entries.reserve(list.size());
-  Term least_term = body.previous_term;
+  Term min_term = body.previous_term;
   for (std::size_t i = 0; i < list.size(); ++i) {
     ArrayReader item(list.Next(), 3);
     Entry entry;
@@ -191,10 +192,10 @@
     entry.index = body.previous_index + i + 1;
     entry.kind = static_cast<EntryKind>(item.Number(2));
     entry.data = item.Bytes(kMaxCommandBytes);
-    if (entry.term < least_term) {
-      throw ConsensusError("terms of entries fall");
+    if (entry.term < min_term) {
+      throw ConsensusError("append request has entries with decreasing terms");
     }
-    least_term = entry.term;
+    min_term = entry.term;
     CheckMembershipEntry(entry);
     body.entries.push_back(std::move(entry));
   }
@@ -212,7 +213,7 @@
   body.offset = reader.Number(body.total_bytes);
   body.data = reader.Bytes(kMaxChunkBytes);
   if (body.data.size() > body.total_bytes - body.offset) {
-    throw ConsensusError("chunk exceeds its snapshot");
+    throw ConsensusError("snapshot chunk extends past the end of the snapshot");
   }
   return body;
 }
@@ -271,7 +272,7 @@
       ArrayReader(object, 0);
       return TransferRequest{};
     default:
-      throw ConsensusError(fmt::format("message type {} is unknown", type));
+      throw ConsensusError(fmt::format("unknown message type {}", type));
   }
 }
 
--- a/libraries/consensus/codec.h
+++ b/libraries/consensus/codec.h
@@ -12,15 +12,15 @@
 
 namespace borageloft::consensus {
 
-// Every decoder below throws ConsensusError for bytes that are malformed, exceed a bound of
-// limits.h or are followed by further bytes.
+// Every decoder below throws ConsensusError if the bytes are malformed, exceed a limit of limits.h
+// or have trailing bytes after the encoded value.
 
 /** @return msgpack encoding of @p message. */
 std::string EncodeMessage(const Message& message);
 /** @return The decoded message. @throws ConsensusError */
 Message DecodeMessage(std::string_view bytes);
 
-/** @return Encoding of @p membership, as held by an entry of kind kMembership. */
+/** @return Encoding of @p membership, the data of an entry of kind kMembership. */
 std::string EncodeMembership(const Membership& membership);
 /** @return The decoded membership. @throws ConsensusError */
 Membership DecodeMembership(std::string_view bytes);
--- a/libraries/consensus/entry.h
+++ b/libraries/consensus/entry.h
@@ -8,11 +8,11 @@
 
 namespace borageloft::consensus {
 
-/** What an entry holds. The values are part of the wire and storage format. */
+/** Kind of a log entry. The values are part of the wire and storage format. */
 enum class EntryKind : std::uint8_t {
   kEmpty = 0,       // Appended by a new leader so that it can commit entries of earlier terms.
   kCommand = 1,     // Command for the state machine.
-  kMembership = 2,  // Encoded Membership that is in force from this entry on.
+  kMembership = 2,  // Encoded Membership, which takes effect at this entry.
 };
 
 /** One entry of the replicated log. */
--- a/libraries/consensus/error.h
+++ b/libraries/consensus/error.h
@@ -5,8 +5,7 @@
 
 namespace borageloft::consensus {
 
-/** Error of the consensus library: bytes that do not decode, or persisted state that is unusable.
- */
+/** Error of the consensus library: undecodable bytes or unusable persisted state. */
 class ConsensusError : public base::Error {
  public:
   using base::Error::Error;
--- a/libraries/consensus/hard_state.h
+++ b/libraries/consensus/hard_state.h
@@ -5,13 +5,13 @@
 
 namespace borageloft::consensus {
 
-/** State that must be durable before any message that depends on it is sent. */
+/** State that must be durable before any message that depends on it is sent (Raft hard state). */
 struct HardState {
-  /** Replica that owns the data folder; kNoReplica marks an empty folder. */
+  /** Replica that owns the data folder; kNoReplica means an empty folder. */
   ReplicaId replica = kNoReplica;
-  /** Highest term seen. */
+  /** Current term, the highest one seen. */
   Term term = 0;
-  /** Candidate that got this replica's vote in the term. */
+  /** Candidate that this replica voted for in the current term, or kNoReplica. */
   ReplicaId vote = kNoReplica;
 
   bool operator==(const HardState&) const = default;
--- a/libraries/consensus/membership.cc
+++ b/libraries/consensus/membership.cc
@@ -23,10 +23,10 @@
   }
   for (const auto& [id, member] : members) {
     if (id == kNoReplica || id >= next_id) {
-      throw ConsensusError("membership holds a replica id that was never assigned");
+      throw ConsensusError("membership has a replica id that was never assigned");
     }
     if (member.host.size() > kMaxHostBytes) {
-      throw ConsensusError("membership holds a host name longer than 255 bytes");
+      throw ConsensusError("membership has a host name longer than 255 bytes");
     }
   }
   Membership membership;
--- a/libraries/consensus/membership.h
+++ b/libraries/consensus/membership.h
@@ -12,29 +12,29 @@
 
 /** One member of a group. */
 struct Member {
-  /** Name of the control host, as the transport knows it. */
+  /** Name of the control host in the transport. */
   std::string host;
-  /** False for a learner, which receives the log but counts in no quorum. */
+  /** False for a learner, which receives the log but does not count towards a quorum. */
   bool is_voter = false;
 
   bool operator==(const Member&) const = default;
 };
 
-/** Kind of a membership change; each changes one member. */
+/** Kind of a membership change. Each change affects one member. */
 enum class MembershipChangeKind { kAddLearner, kPromoteLearner, kRemove };
 
 /** A membership change to propose. */
 struct MembershipChange {
   MembershipChangeKind kind = MembershipChangeKind::kAddLearner;
-  /** Member to promote or remove. Unused for kAddLearner: the group assigns a fresh id. */
+  /** Member to promote or remove. Unused for kAddLearner: the group assigns a new id. */
   ReplicaId replica = kNoReplica;
   /** Host of the learner to add. */
   std::string host;
 };
 
 /**
- * Members of a group. Ids are assigned in rising order and never twice, so that a host that lost
- * its disk, and with it the memory of its votes, cannot come back under its old id.
+ * Members of a group. Ids are assigned in increasing order and never reused, so that a host that
+ * lost its disk, and with it the record of its votes, cannot rejoin under its old id.
  */
 class Membership {
  public:
@@ -45,7 +45,7 @@
 
   /**
    * Restores a membership from its parts.
-   * @throws ConsensusError if a part is out of bounds or an id is not below @p next_id.
+   * @throws ConsensusError if a limit of limits.h is exceeded or an id is not in [1, next_id).
    */
   static Membership FromParts(std::map<ReplicaId, Member> members, ReplicaId next_id);
 
@@ -55,12 +55,12 @@
    */
   bool IsValid(const MembershipChange& change) const;
 
-  /** @return This membership after @p change, which must be valid. */
+  /** @return This membership with @p change applied, which must be valid. */
   Membership After(const MembershipChange& change) const;
 
   /** @return Members by id. */
   const std::map<ReplicaId, Member>& members() const { return members_; }
-  /** @return Id that the next added learner gets. */
+  /** @return Id to assign to the next added learner. */
   ReplicaId next_id() const { return next_id_; }
   /** @return Whether @p replica is a member. */
   bool Contains(ReplicaId replica) const { return members_.contains(replica); }
@@ -68,7 +68,7 @@
   bool IsVoter(ReplicaId replica) const;
   /** @return Number of voters. */
   std::size_t voter_count() const;
-  /** @return Number of voters that form a majority. */
+  /** @return Number of voters in a majority. */
   std::size_t quorum() const { return voter_count() / 2 + 1; }
 
   bool operator==(const Membership&) const = default;
--- a/libraries/consensus/message.h
+++ b/libraries/consensus/message.h
@@ -12,17 +12,17 @@
 
 namespace borageloft::consensus {
 
-/** Asks for a vote, or whether a vote would be given (pre-vote). */
+/** Requests a vote, or asks whether a vote would be granted (pre-vote). */
 struct VoteRequest {
   bool is_pre_vote = false;
-  /** Set when the leader itself asked this candidate to take over. */
+  /** Set when the leader requested this election by a TransferRequest. */
   bool is_transfer = false;
   Index last_index = 0;
   Term last_term = 0;
   bool operator==(const VoteRequest&) const = default;
 };
 
-/** Answers a VoteRequest. */
+/** Response to a VoteRequest. */
 struct VoteResponse {
   bool is_pre_vote = false;
   bool is_granted = false;
@@ -40,7 +40,7 @@
   bool operator==(const AppendRequest&) const = default;
 };
 
-/** Answers an AppendRequest or a complete snapshot. */
+/** Response to an AppendRequest, or to the chunk that completes a snapshot. */
 struct AppendResponse {
   bool is_rejected = false;
   /** Highest index known to match the leader's log; unused in a rejection. */
@@ -53,7 +53,7 @@
   bool operator==(const AppendResponse&) const = default;
 };
 
-/** Keeps followers from campaigning, tells the committed index and confirms reads. */
+/** Keeps followers from campaigning, carries the committed index and confirms reads. */
 struct Heartbeat {
   Index commit = 0;
   Term commit_term = 0;
@@ -61,7 +61,7 @@
   bool operator==(const Heartbeat&) const = default;
 };
 
-/** Answers a Heartbeat. */
+/** Response to a Heartbeat. */
 struct HeartbeatResponse {
   std::uint64_t round = 0;
   bool operator==(const HeartbeatResponse&) const = default;
@@ -73,24 +73,24 @@
   Term term = 0;
   Membership membership;
   std::uint64_t total_bytes = 0;
-  /** Hash of the whole data, which the receiver checks before it installs the snapshot. */
+  /** Hash of the complete data, which the receiver verifies before it installs the snapshot. */
   std::uint64_t checksum = 0;
   std::uint64_t offset = 0;
   std::string data;
   bool operator==(const SnapshotChunk&) const = default;
 };
 
-/** Answers a SnapshotChunk that did not complete the snapshot. */
+/** Response to a SnapshotChunk that did not complete the snapshot. */
 struct SnapshotChunkResponse {
   Index index = 0;
-  /** Offset of the chunk that this answers. */
+  /** Offset of the acknowledged chunk. */
   std::uint64_t offset = 0;
-  /** Offset that the receiver wants next. */
+  /** Offset of the next chunk that the receiver expects. */
   std::uint64_t next_offset = 0;
   bool operator==(const SnapshotChunkResponse&) const = default;
 };
 
-/** Asks the receiver to campaign at once, since the leader is leaving. */
+/** Asks the receiver to campaign immediately, because the leader transfers its leadership. */
 struct TransferRequest {
   bool operator==(const TransferRequest&) const = default;
 };
--- a/libraries/consensus/progress.cc
+++ b/libraries/consensus/progress.cc
@@ -5,13 +5,14 @@
 
 namespace borageloft::consensus {
 
-void Progress::AnswerRound(std::uint64_t round) { round_ = std::max(round_, round); }
+void Progress::AcknowledgeRound(std::uint64_t round) { round_ = std::max(round_, round); }
 
 bool Progress::CanSend(std::size_t max_in_flight_bytes) const {
   return mode_ == Mode::kReplicate ? in_flight_bytes_ < max_in_flight_bytes : !is_paused_;
 }
 
-void Progress::SendAppend(std::size_t count, std::size_t bytes, Index commit, base::TimePoint now) {
+void Progress::RecordAppend(std::size_t count, std::size_t bytes, Index commit,
+                            base::TimePoint now) {
   sent_commit_ = std::max(sent_commit_, commit);
   if (mode_ == Mode::kProbe) {
     is_paused_ = true;
@@ -20,19 +21,19 @@
   }
   next_ += count;
   if (count > 0) {
-    // One byte is counted for an entry without data, so that empty entries are bounded as well.
+    // Each entry counts one byte more than its data, so that entries without data are limited too.
     in_flight_.push_back({next_ - 1, bytes + count, now});
     in_flight_bytes_ += bytes + count;
   }
 }
 
-void Progress::SendChunk(base::TimePoint now) {
+void Progress::RecordChunk(base::TimePoint now) {
   is_paused_ = true;
   paused_since_ = now;
 }
 
 bool Progress::Acknowledge(Index match) {
-  const bool is_news = match > match_;
+  const bool has_advanced = match > match_;
   match_ = std::max(match_, match);
   next_ = std::max(next_, match_ + 1);
   while (!in_flight_.empty() && in_flight_.front().last_index <= match_) {
@@ -46,7 +47,7 @@
     is_paused_ = false;
     next_ = match_ + 1;
   }
-  return is_news;
+  return has_advanced;
 }
 
 void Progress::Probe(Index next) {
--- a/libraries/consensus/progress.h
+++ b/libraries/consensus/progress.h
@@ -11,17 +11,17 @@
 
 namespace borageloft::consensus {
 
-/** What a leader knows of one follower, and the flow control of what it sends to it. */
+/** A leader's view of the replication to one follower, with flow control. */
 class Progress {
  public:
-  /** How entries are sent. */
+  /** How entries are sent to the follower. */
   enum class Mode {
     kProbe,      // One request at a time until the logs are known to match.
     kReplicate,  // Pipelined requests, bounded by bytes in flight.
     kSnapshot,   // One chunk of a snapshot at a time.
   };
 
-  /** @param next First index to send. @param now Start of the contact. */
+  /** @param next First index to send. @param now Initial value of last_heard(). */
   Progress(Index next, base::TimePoint now) : next_(next), last_heard_(now) {}
 
   Mode mode() const { return mode_; }
@@ -29,40 +29,40 @@
   Index match() const { return match_; }
   /** @return First index to send next. */
   Index next() const { return next_; }
-  /** @return When the follower was last heard. */
+  /** @return Time at which the last message of the follower was received. */
   base::TimePoint last_heard() const { return last_heard_; }
-  /** @return Highest heartbeat round that the follower answered. */
+  /** @return Highest heartbeat round that the follower acknowledged. */
   std::uint64_t round() const { return round_; }
-  /** @return Highest committed index that the follower was told. */
+  /** @return Highest committed index sent to the follower. */
   Index sent_commit() const { return sent_commit_; }
   /** @return Snapshot being transferred, if any. */
   const SnapshotPointer& snapshot() const { return snapshot_; }
   /** @return Offset of the snapshot chunk to send. */
   std::uint64_t snapshot_offset() const { return snapshot_offset_; }
 
-  /** Records a message of the follower. */
-  void Hear(base::TimePoint now) { last_heard_ = now; }
-  /** Records the answer to a heartbeat round. */
-  void AnswerRound(std::uint64_t round);
+  /** Records that a message of the follower was received. */
+  void RecordMessage(base::TimePoint now) { last_heard_ = now; }
+  /** Records the response to a heartbeat round. */
+  void AcknowledgeRound(std::uint64_t round);
 
   /** @return Whether an append request or a snapshot chunk may be sent now. */
   bool CanSend(std::size_t max_in_flight_bytes) const;
 
-  /** Records an append request that carries @p count entries of @p bytes. */
-  void SendAppend(std::size_t count, std::size_t bytes, Index commit, base::TimePoint now);
-  /** Records a snapshot chunk. */
-  void SendChunk(base::TimePoint now);
+  /** Records that an append request with @p count entries of @p bytes in total was sent. */
+  void RecordAppend(std::size_t count, std::size_t bytes, Index commit, base::TimePoint now);
+  /** Records that a snapshot chunk was sent. */
+  void RecordChunk(base::TimePoint now);
 
-  /** Records that the follower's log matches up to @p match. @return Whether that is news. */
+  /** Records that the follower's log matches up to @p match. @return Whether match() increased. */
   bool Acknowledge(Index match);
-  /** Goes back to probing from @p next, which is raised above what is known to match. */
+  /** Returns to mode kProbe at @p next, or at the entry after match() if that is higher. */
   void Probe(Index next);
-  /** Starts the transfer of @p snapshot. */
+  /** Enters mode kSnapshot and starts the transfer of @p snapshot. */
   void StartSnapshot(SnapshotPointer snapshot);
-  /** Records the answer to the chunk at @p offset; answers to other chunks are ignored. */
+  /** Records the response to the chunk at @p offset; responses to other chunks are ignored. */
   void AcknowledgeChunk(Index index, std::uint64_t offset, std::uint64_t next_offset);
 
-  /** Sends again what stayed unanswered for @p timeout. */
+  /** Allows requests that were not acknowledged within @p timeout to be sent again. */
   void Retransmit(base::TimePoint now, base::Duration timeout);
 
  private:
@@ -78,7 +78,7 @@
   Index sent_commit_ = 0;
   base::TimePoint last_heard_;
   std::uint64_t round_ = 0;
-  // In the modes kProbe and kSnapshot one request is unanswered at most.
+  // Set in the modes kProbe and kSnapshot while their only request is in flight.
   bool is_paused_ = false;
   base::TimePoint paused_since_;
   std::deque<InFlight> in_flight_;
--- a/libraries/consensus/raft_log.cc
+++ b/libraries/consensus/raft_log.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Counted for each entry besides its command, so that entries without data are bounded as well.
+// Counted for each entry in addition to its data, so that entries without data are limited too.
 constexpr std::uint64_t kEntryOverheadBytes = 32;
 
 }  // namespace
@@ -25,7 +25,7 @@
       continue;
     }
     if (entry.index != last_index() + 1 || entry.term < last_term()) {
-      throw ConsensusError("the stored entries have a gap or falling terms");
+      throw ConsensusError("stored log entries have a gap or decreasing terms");
     }
     Append(std::move(entry));
   }
@@ -103,7 +103,7 @@
 }
 
 void RaftLog::Truncate(Index first) {
-  // A committed entry that conflicts with the leader's log would mean that two quorums disagreed.
+  // A conflict below the committed index would mean that two quorums committed different entries.
   VERIFY(first > commit_);
   records_.erase(records_.begin() + static_cast<std::ptrdiff_t>(first - base_index_ - 1),
                  records_.end());
@@ -116,8 +116,8 @@
   if (index <= commit_) {
     return;
   }
-  // A leader only announces what this replica acknowledged as durable, so a shorter log means that
-  // durable entries were lost.
+  // A leader sends only a committed index that this replica acknowledged as durable, so a shorter
+  // log means that durable entries were lost.
   VERIFY(index <= last_index());
   commit_ = index;
 }
@@ -150,7 +150,7 @@
   const auto later =
       std::find_if(memberships_.begin(), memberships_.end(),
                    [&](const auto& membership) { return membership.first > snapshot_->index; });
-  // The last membership up to the snapshot stays, under its own index.
+  // The last membership up to the snapshot is kept, with its own index.
   memberships_.erase(memberships_.begin(), later - 1);
 }
 
--- a/libraries/consensus/raft_log.h
+++ b/libraries/consensus/raft_log.h
@@ -15,15 +15,16 @@
 namespace borageloft::consensus {
 
 /**
- * In-memory log of one replica: the latest snapshot, the entries behind it, the committed index
- * and the memberships that the entries hold. It refuses to change a committed entry.
+ * In-memory log of one replica: the latest snapshot, the entries after it, the committed index and
+ * the memberships in the entries. Committed entries are never changed; an attempt fails a VERIFY.
  */
 class RaftLog {
  public:
   /**
    * @param snapshot Latest snapshot; everything up to its index counts as committed.
    * @param entries Entries without gaps. Those up to the snapshot's index are ignored.
-   * @throws ConsensusError if the entries have a gap or do not reach the snapshot.
+   * @throws ConsensusError if the entries do not follow the snapshot without a gap, or if their
+   * terms decrease.
    */
   RaftLog(SnapshotPointer snapshot, std::vector<Entry> entries);
 
@@ -33,12 +34,12 @@
   Index last_index() const { return base_index_ + records_.size(); }
   /** @return Term of the last entry. */
   Term last_term() const { return *TermAt(last_index()); }
-  /** @return Committed index. It never falls. */
+  /** @return Committed index. It never decreases. */
   Index commit() const { return commit_; }
   /** @return Latest snapshot. */
   const SnapshotPointer& snapshot() const { return snapshot_; }
 
-  /** @return Term of the entry at @p index, or nothing if it is compacted or not there yet. */
+  /** @return Term of the entry at @p index, or nothing if it was compacted or is not in the log. */
   std::optional<Term> TermAt(Index index) const;
 
   /** @return Whether the log holds an entry with this index and term. */
@@ -50,13 +51,13 @@
   /** @return Highest index up to @p index whose term is at most @p term, or the base index. */
   Index FindAtMost(Index index, Term term) const;
 
-  /** @return Entries from @p first to @p last, at most @p max_bytes but at least one if any. */
+  /** @return Entries from @p first to @p last, limited to @p max_bytes except for the first one. */
   std::vector<Entry> Slice(Index first, Index last, std::size_t max_bytes) const;
 
-  /** @return Bytes held by the entries above @p index. */
+  /** @return Size in bytes of the entries above @p index, including a fixed overhead per entry. */
   std::uint64_t BytesAfter(Index index) const;
 
-  /** Appends one entry, whose index must follow the last one. */
+  /** Appends one entry, whose index must be last_index() + 1. */
   void Append(Entry entry);
 
   /**
@@ -65,22 +66,22 @@
    */
   std::optional<Index> Merge(std::vector<Entry> entries);
 
-  /** Raises the committed index to @p index, which must be in the log; lower ones are ignored. */
+  /** Advances the committed index to @p index, which must be in the log; a lower one is ignored. */
   void CommitTo(Index index);
 
-  /** Replaces the whole log by a snapshot above the committed index. */
+  /** Replaces the whole log with a snapshot above the committed index. */
   void Install(SnapshotPointer snapshot);
 
   /**
-   * Adopts a snapshot of this replica's own state machine.
+   * Adopts a snapshot of this replica's own state machine and discards entries up to its index.
    * @param snapshot Snapshot at a committed index.
-   * @param retained Number of entries up to the snapshot to keep for slow followers.
+   * @param retained Number of entries up to the snapshot's index to keep for slow followers.
    */
   void Compact(SnapshotPointer snapshot, std::uint64_t retained);
 
-  /** @return Membership of the last entry that holds one, committed or not. */
+  /** @return Latest membership in the log, committed or not. */
   const Membership& membership() const { return memberships_.back().second; }
-  /** @return Index of the entry that holds membership(). */
+  /** @return Index of the entry with membership(). */
   Index membership_index() const { return memberships_.back().first; }
   /** @return Membership in force after the entry at @p index. */
   const Membership& MembershipAt(Index index) const;
@@ -88,7 +89,7 @@
  private:
   struct Record {
     Entry entry;
-    std::uint64_t end_bytes;  // Bytes of all entries up to this one.
+    std::uint64_t end_bytes;  // Cumulative size of the entries up to this one.
   };
 
   const Record& At(Index index) const { return records_[index - base_index_ - 1]; }
@@ -100,7 +101,7 @@
   std::uint64_t base_bytes_ = 0;
   Index commit_ = 0;
   std::deque<Record> records_;
-  // The first one belongs to the snapshot; the others to entries above it.
+  // The first one is in force at the snapshot; the others come from entries above it.
   std::vector<std::pair<Index, Membership>> memberships_;
 };
 
--- a/libraries/consensus/read_queue.cc
+++ b/libraries/consensus/read_queue.cc
@@ -14,18 +14,18 @@
 
 void ReadQueue::StartRound(Index commit) {
   ++round_;
-  for (; assigned_ < reads_.size(); ++assigned_) {
-    reads_[assigned_].round = round_;
-    reads_[assigned_].index = commit;
+  for (; assigned_count_ < reads_.size(); ++assigned_count_) {
+    reads_[assigned_count_].round = round_;
+    reads_[assigned_count_].index = commit;
   }
 }
 
 std::vector<ReadState> ReadQueue::Confirm(std::uint64_t round) {
   std::vector<ReadState> confirmed;
-  while (assigned_ > 0 && reads_.front().round <= round) {
+  while (assigned_count_ > 0 && reads_.front().round <= round) {
     confirmed.push_back({reads_.front().context, reads_.front().index, true});
     reads_.pop_front();
-    --assigned_;
+    --assigned_count_;
   }
   return confirmed;
 }
@@ -37,7 +37,7 @@
     dropped.push_back({read.context, 0, false});
   }
   reads_.clear();
-  assigned_ = 0;
+  assigned_count_ = 0;
   return dropped;
 }
 
--- a/libraries/consensus/read_queue.h
+++ b/libraries/consensus/read_queue.h
@@ -11,16 +11,17 @@
 namespace borageloft::consensus {
 
 /**
- * Linearisable reads of a leader. All reads that wait when a heartbeat round starts share that
- * round; a round confirmed by a quorum proves that the leader was still leader after they arrived.
+ * Pending linearisable reads of a leader (the read index protocol). All reads that wait when a
+ * heartbeat round starts share that round. A round confirmed by a quorum proves that this replica
+ * was still leader after those reads arrived.
  */
 class ReadQueue {
  public:
-  /** Adds a read. @return False if too many reads wait. */
+  /** Adds a read. @return False if kMaxPendingReads reads are already pending. */
   bool Add(std::uint64_t context);
 
-  /** @return Whether reads wait for a round to start. */
-  bool HasUnassigned() const { return assigned_ < reads_.size(); }
+  /** @return Whether there are reads without a round. */
+  bool HasUnassigned() const { return assigned_count_ < reads_.size(); }
 
   /** Starts a round for all reads without one. @param commit Index that they must see applied. */
   void StartRound(Index commit);
@@ -28,10 +29,10 @@
   /** @return Number of the latest round. */
   std::uint64_t round() const { return round_; }
 
-  /** @return Confirmed reads of all rounds up to @p round. */
+  /** Removes the reads of all rounds up to @p round. @return Those reads, as confirmed. */
   std::vector<ReadState> Confirm(std::uint64_t round);
 
-  /** @return All waiting reads, as failed. */
+  /** Removes all reads. @return Those reads, as not confirmed. */
   std::vector<ReadState> DropAll();
 
  private:
@@ -42,7 +43,7 @@
   };
 
   std::uint64_t round_ = 0;
-  std::size_t assigned_ = 0;
+  std::size_t assigned_count_ = 0;  // Reads at the front that have a round.
   std::deque<Read> reads_;
 };
 
--- a/libraries/consensus/ready.h
+++ b/libraries/consensus/ready.h
@@ -13,13 +13,13 @@
 
 namespace borageloft::consensus {
 
-/** What a replica does in its group. */
+/** Raft role of a replica. */
 enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };
 
-/** State that is not persisted. */
+/** State that is not persisted (Raft soft state). */
 struct SoftState {
   Role role = Role::kFollower;
-  /** Leader of the term as far as known. */
+  /** Known leader of the term, or kNoReplica. */
   ReplicaId leader = kNoReplica;
   Term term = 0;
 
@@ -30,15 +30,15 @@
 struct ReadState {
   /** The value passed to RequestRead(). */
   std::uint64_t context = 0;
-  /** The read may be answered once this index is applied. */
+  /** The read may be served once this index is applied. */
   Index index = 0;
-  /** False if leadership was lost first; the read must not be answered. */
+  /** False if leadership was lost first; the read must not be served then. */
   bool is_confirmed = false;
 
   bool operator==(const ReadState&) const = default;
 };
 
-/** Names what a Ready asked to persist and apply, for Replica::Advance(). */
+/** Acknowledges what a Ready asked to persist and apply; passed to Replica::Advance(). */
 struct ReadyReceipt {
   std::optional<HardState> hard_state;
   Index persisted_index = 0;
@@ -51,7 +51,7 @@
  * 2. save `snapshot` if there is one, discarding all stored entries, and restore the state machine;
  * 3. store `entries`, which replace every stored entry from the first one's index on, and sync;
  * 4. only then send `messages`;
- * 5. apply `committed`, answer `read_states`, and pass `receipt` to Replica::Advance().
+ * 5. apply `committed`, complete `read_states`, and pass `receipt` to Replica::Advance().
  */
 struct Ready {
   std::optional<HardState> hard_state;
@@ -60,7 +60,7 @@
   std::vector<Message> messages;
   std::vector<Entry> committed;
   std::vector<ReadState> read_states;
-  /** Set when it changed. */
+  /** Set if it changed since the previous Ready. */
   std::optional<SoftState> soft_state;
   ReadyReceipt receipt;
 };
--- a/libraries/consensus/replica.cc
+++ b/libraries/consensus/replica.cc
@@ -14,16 +14,17 @@
 PersistedState Checked(PersistedState state) {
   if (state.hard_state.replica == kNoReplica) {
     throw ConsensusError(
-        "the persisted state names no replica; a host that lost its disk joins as a learner");
+        "persisted state has no replica id; a host that lost its disk must join as a learner");
   }
   if (!state.snapshot) {
-    throw ConsensusError("the persisted state has no snapshot");
+    throw ConsensusError("persisted state has no snapshot");
   }
   return state;
 }
 
 ReplicaOptions Clamped(ReplicaOptions options) {
-  // Two halves of a message: an append request holds these bytes and at most one more command.
+  // An append request must fit into kMaxMessageBytes even with one further command of
+  // kMaxCommandBytes.
   options.max_append_bytes = std::min(options.max_append_bytes, kMaxCommandBytes / 2);
   options.snapshot_chunk_bytes =
       std::clamp<std::size_t>(options.snapshot_chunk_bytes, 1, kMaxChunkBytes);
@@ -44,7 +45,7 @@
       applied_(log_.snapshot()->index),
       reported_soft_state_{Role::kFollower, kNoReplica, hard_state_.term} {
   if (log_.last_term() > hard_state_.term) {
-    throw ConsensusError("the stored log is ahead of the stored term");
+    throw ConsensusError("stored log has a higher term than the stored hard state");
   }
   SetElectionTimer(options_.pre_vote_delay, options_.pre_vote_spread);
 }
@@ -121,9 +122,9 @@
   if (receipt.hard_state) {
     durable_hard_state_ = *receipt.hard_state;
   }
-  // Entries that were replaced while they were written do not count as durable. Those before them
-  // do, and must not be written again: rewriting them would for a moment remove entries that were
-  // acknowledged.
+  // Entries that were replaced while they were being written do not count as durable. Entries
+  // before them do, and must not be written again: a rewrite first truncates the stored log and
+  // would temporarily remove entries that were already acknowledged.
   stable_ = std::max(stable_, std::min(receipt.persisted_index, replaced_from_ - 1));
   applied_ = std::max(applied_, receipt.applied_index);
   VERIFY(applied_ <= log_.commit());
--- a/libraries/consensus/replica.h
+++ b/libraries/consensus/replica.h
@@ -19,22 +19,22 @@
 
 namespace borageloft::consensus {
 
-/** How a replica took a proposal. */
+/** Result of handing a proposal to a replica. */
 enum class ProposalStatus {
   kAppended,       // In the leader's log; the outcome is known once its index is committed.
   kNotLeader,      // Not appended; leader() may name the leader.
-  kDropped,        // Not appended: too much is uncommitted, or leadership is being transferred.
+  kDropped,        // Not appended: too many uncommitted bytes, or a leadership transfer is active.
   kTooLarge,       // Not appended: longer than kMaxCommandBytes.
   kChangePending,  // Not appended: another membership change is not committed yet.
   kInvalidChange,  // Not appended: the change does not apply to the membership.
-  kNotCaughtUp,    // Not appended: the learner to promote lacks too many entries.
+  kNotCaughtUp,    // Not appended: the learner to promote has not caught up.
   kQuorumAtRisk,   // Not appended: the new membership has no quorum of reachable voters.
 };
 
-/** Answer to a proposal. A proposal that was not appended has no effect, now or later. */
+/** Result of a proposal. A proposal that was not appended has no effect, now or later. */
 struct ProposalResult {
   ProposalStatus status = ProposalStatus::kNotLeader;
-  /** Place of the appended entry. It is committed if the entry committed at index has this term. */
+  /** Position of the appended entry; committed if the entry committed at index has this term. */
   Index index = 0;
   Term term = 0;
   /** Id assigned to an added learner. It may be used once the change is committed. */
@@ -42,26 +42,27 @@
 };
 
 /**
- * Raft replica without I/O: ticks, messages and proposals go in, Ready objects come out. It has
- * leader election with pre-vote and randomised timeouts, check-quorum, pipelined log replication,
- * read-index reads, chunked snapshot transfer, membership changes of one member at a time with
- * learners, and leadership transfer. Not thread-safe.
+ * Raft replica without I/O: ticks, messages and proposals go in, Ready objects come out. It
+ * implements leader election with pre-vote and randomised timeouts, check-quorum, pipelined log
+ * replication, read-index reads, chunked snapshot transfer, membership changes of one member at a
+ * time with learners, and leadership transfer. Not thread-safe.
  */
 class Replica {
  public:
   /**
    * @param options Settings.
    * @param random Source of election timeouts.
-   * @param state What was persisted, or a first state.
+   * @param state Persisted state, or the initial state of a new replica.
    * @param now Current time.
-   * @throws ConsensusError if @p state names no replica, has no snapshot or its log has a gap.
+   * @throws ConsensusError if @p state has no replica id or no snapshot, or if its log has a gap,
+   * decreasing terms or a term above the one of the hard state.
    */
   Replica(ReplicaOptions options, base::Random random, PersistedState state, base::TimePoint now);
 
-  /** Advances time; @p now never moves back. */
+  /** Advances the clock and runs due timers. An earlier @p now than before is ignored. */
   void Tick(base::TimePoint now);
 
-  /** Handles a message of another replica. Messages to another replica id are ignored. */
+  /** Handles a message of another replica. Messages for other replica ids are ignored. */
   void Step(Message message);
 
   /** Appends a command if this replica is leader. */
@@ -71,22 +72,25 @@
   ProposalResult ProposeMembership(const MembershipChange& change);
 
   /**
-   * Starts a linearisable read, answered by a ReadState with the same context.
-   * @return False if this replica is not leader or too many reads wait; nothing was started then.
+   * Starts a linearisable read, whose outcome is a ReadState with the same context.
+   * @return False if this replica is not leader or too many reads are pending; nothing is started
+   * then.
    */
   bool RequestRead(std::uint64_t context);
 
   /**
-   * Hands leadership over, for a shutdown. Proposals are dropped until the transfer ends; if the
-   * target has not taken over after an election timeout, this replica goes on as leader.
-   * @param target Voter to take over, or kNoReplica for the reachable one with the longest log.
-   * @return False if this replica is not leader or no voter is reachable.
+   * Transfers leadership, for example before a shutdown. Proposals are dropped until the transfer
+   * ends; if the target has not become leader within an election timeout, this replica remains
+   * leader.
+   * @param target Voter to become leader, or kNoReplica for the reachable voter with the highest
+   * matching index.
+   * @return False if this replica is not leader or there is no suitable voter.
    */
   bool TransferLeadership(ReplicaId target = kNoReplica);
 
   /**
-   * @return Work to do, or nothing. The next call must follow Advance(); other calls may come in
-   * between.
+   * @return Work to do, or nothing. After a Ready, call Advance() before the next call of
+   * TakeReady(); other calls are allowed in between.
    */
   std::optional<Ready> TakeReady();
 
@@ -94,36 +98,39 @@
   void Advance(const ReadyReceipt& receipt);
 
   /**
-   * @param index Applied index that @p data stands for; not below the latest snapshot.
-   * @param data State machine after the entry at @p index.
+   * Builds a snapshot of the state machine without storing it.
+   * @param index Applied index, not below the latest snapshot.
+   * @param data Encoded state machine after the entry at @p index.
    * @return The snapshot to save, and to pass to Compact() once it is durable.
    */
   SnapshotPointer MakeSnapshot(Index index, std::string data) const;
 
-  /** Drops the log behind a durable snapshot. A snapshot that is older than the latest is ignored.
+  /**
+   * Discards log entries up to a durable snapshot, except retained_entries of them. A snapshot that
+   * is not newer than the latest is ignored.
    */
   void Compact(SnapshotPointer snapshot);
 
-  /** @return Whether this replica is leader and learner @p replica may be promoted. */
+  /** @return Whether this replica is leader and learner @p replica has caught up. */
   bool HasCaughtUp(ReplicaId replica) const;
 
-  /** @return Whether this replica is leader and heard @p replica within an election timeout. */
+  /** @return Whether this replica is leader and heard @p replica within one election timeout. */
   bool IsReachable(ReplicaId replica) const { return is_leader() && IsActive(replica); }
 
   ReplicaId id() const { return hard_state_.replica; }
   Role role() const { return role_; }
   bool is_leader() const { return role_ == Role::kLeader; }
-  /** @return Leader as far as known. */
+  /** @return Known leader, or kNoReplica. */
   ReplicaId leader() const { return leader_; }
   Term term() const { return hard_state_.term; }
-  /** @return Committed index; it never falls. */
+  /** @return Committed index; it never decreases. */
   Index commit() const { return log_.commit(); }
-  /** @return Index up to which Advance() acknowledged application. */
+  /** @return Highest index whose application was acknowledged by Advance(). */
   Index applied() const { return applied_; }
   Index last_index() const { return log_.last_index(); }
   /** @return Index of the latest snapshot. */
   Index snapshot_index() const { return log_.snapshot()->index; }
-  /** @return Term of the entry at @p index if it is held. */
+  /** @return Term of the entry at @p index, or nothing if it is not in the log. */
   std::optional<Term> TermAt(Index index) const { return log_.TermAt(index); }
   /** @return Membership in force, which may be uncommitted. */
   const Membership& membership() const { return log_.membership(); }
@@ -131,9 +138,9 @@
   bool HasPendingMembership() const { return log_.membership_index() > log_.commit(); }
 
  private:
-  // Elections, in replica_election.cc.
+  // Elections; defined in replica_election.cc.
   void ResetElectionTimer();
-  void SetElectionTimer(base::Duration least, base::Duration spread);
+  void SetElectionTimer(base::Duration minimum, base::Duration spread);
   void BecomeFollower(Term term, ReplicaId leader);
   void Campaign(bool is_pre_vote, bool is_transfer);
   void BecomeLeader();
@@ -146,7 +153,7 @@
   void Handle(ReplicaId from, Term term, const VoteResponse& response);
   void Handle(ReplicaId from, Term term, const TransferRequest& request);
 
-  // Following, in replica_follower.cc.
+  // Follower; defined in replica_follower.cc.
   void Handle(ReplicaId from, Term term, AppendRequest& request);
   void Handle(ReplicaId from, Term term, const Heartbeat& heartbeat);
   void Handle(ReplicaId from, Term term, const SnapshotChunk& chunk);
@@ -154,7 +161,7 @@
   void RejectAppend(ReplicaId from, const AppendRequest& request);
   void InstallSnapshot(SnapshotPointer snapshot);
 
-  // Leading, in replica_leader.cc.
+  // Leader; defined in replica_leader.cc.
   void Handle(ReplicaId from, Term term, const AppendResponse& response);
   void Handle(ReplicaId from, Term term, const HeartbeatResponse& response);
   void Handle(ReplicaId from, Term term, const SnapshotChunkResponse& response);
@@ -174,7 +181,7 @@
   void SendChunk(ReplicaId replica, Progress& progress);
   void AdvanceCommit();
   void ContinueTransfer();
-  void AppendOwn(EntryKind kind, std::string data);
+  void AppendEntry(EntryKind kind, std::string data);
 
   void Send(ReplicaId to, MessageBody body);
   void SendInTerm(ReplicaId to, Term term, MessageBody body);
@@ -185,12 +192,12 @@
   HardState hard_state_;
   HardState durable_hard_state_;
   RaftLog log_;
-  Index stable_ = 0;   // Last entry known to be durable here.
-  Index applied_ = 0;  // Last entry known to be applied here.
+  Index stable_ = 0;   // Last local entry known to be durable.
+  Index applied_ = 0;  // Last entry known to be applied to the local state machine.
 
   Role role_ = Role::kFollower;
   ReplicaId leader_ = kNoReplica;
-  ReplicaId term_leader_ = kNoReplica;  // Leader seen in this term, kept after contact is lost.
+  ReplicaId term_leader_ = kNoReplica;  // Leader of this term; kept after contact is lost.
   base::TimePoint last_contact_;
   base::TimePoint election_due_;
   std::set<ReplicaId> granted_;
--- a/libraries/consensus/replica_election.cc
+++ b/libraries/consensus/replica_election.cc
@@ -18,15 +18,15 @@
   SetElectionTimer(options_.election_timeout, options_.election_timeout);
 }
 
-void Replica::SetElectionTimer(base::Duration least, base::Duration spread) {
+void Replica::SetElectionTimer(base::Duration minimum, base::Duration spread) {
   const auto range = static_cast<std::uint64_t>(spread.count());
-  const auto extra = base::Duration(static_cast<std::int64_t>(base::DrawBelow(random_, range)));
-  election_due_ = now_ + least + extra;
+  const auto jitter = base::Duration(static_cast<std::int64_t>(base::DrawBelow(random_, range)));
+  election_due_ = now_ + minimum + jitter;
 }
 
 void Replica::SetVote(Term term, ReplicaId vote) {
   VERIFY(term >= hard_state_.term);
-  // Two votes in one term could elect two leaders.
+  // A second vote in the same term could elect a second leader.
   VERIFY(term > hard_state_.term || hard_state_.vote == kNoReplica || hard_state_.vote == vote);
   if (term > hard_state_.term) {
     term_leader_ = kNoReplica;
@@ -65,7 +65,7 @@
     SetVote(campaign_term, id());
     role_ = Role::kCandidate;
   }
-  // A pre-vote waits for no disk, so a split one is repeated sooner than a vote.
+  // A pre-vote needs no disk write, so it is retried sooner than a vote if it is split.
   if (is_pre_vote) {
     SetElectionTimer(options_.pre_vote_delay, options_.pre_vote_spread);
   } else {
@@ -96,20 +96,20 @@
   progress_.clear();
   heartbeat_due_ = now_ + options_.heartbeat_interval;
   SyncProgress();
-  // Entries of earlier terms can only be committed together with one of this term.
-  AppendOwn(EntryKind::kEmpty, "");
+  // Entries of earlier terms can only be committed together with an entry of this term.
+  AppendEntry(EntryKind::kEmpty, "");
 }
 
 bool Replica::AdoptTerm(const Message& message) {
   const auto* request = std::get_if<VoteRequest>(&message.body);
   if (request != nullptr && !request->is_transfer && HasLeaderContact()) {
-    // A replica that was cut off and returns must not unseat a leader that others can reach.
+    // A replica that returns from a partition must not depose a leader that others can reach.
     return false;
   }
   const auto* response = std::get_if<VoteResponse>(&message.body);
   if ((request != nullptr && request->is_pre_vote) ||
       (response != nullptr && response->is_pre_vote && response->is_granted)) {
-    // A pre-vote is about a term that nobody has entered yet.
+    // A pre-vote is for a future term, which must not be entered yet.
     return true;
   }
   BecomeFollower(message.term, IsFromLeader(message.body) ? message.from : kNoReplica);
@@ -118,7 +118,7 @@
 
 void Replica::AnswerStaleTerm(const Message& message) {
   if (IsFromLeader(message.body)) {
-    // Tells a leader of an earlier term to step down.
+    // The higher term in the response makes the leader of an earlier term step down.
     Send(message.from, AppendResponse{true, 0, 0, 0, 0});
   } else if (const auto* request = std::get_if<VoteRequest>(&message.body)) {
     Send(message.from, VoteResponse{request->is_pre_vote, false});
@@ -138,31 +138,32 @@
 
 void Replica::Handle(ReplicaId from, Term term, const VoteRequest& request) {
   const bool is_new_term = request.is_pre_vote && term > hard_state_.term;
-  const bool is_free =
+  const bool can_vote =
       hard_state_.vote == from ||
       (hard_state_.vote == kNoReplica && leader_ == kNoReplica && term_leader_ == kNoReplica);
   const bool is_granted =
-      (is_new_term || is_free) && log_.IsUpToDate(request.last_index, request.last_term);
+      (is_new_term || can_vote) && log_.IsUpToDate(request.last_index, request.last_term);
   if (is_granted && !request.is_pre_vote) {
     SetVote(term, from);
     ResetElectionTimer();
   }
-  // A granted pre-vote names the term asked for; a refusal names the own term, so that a candidate
-  // that is behind learns of it.
+  // A granted pre-vote carries the requested term. A refusal carries this replica's own term, so
+  // that a candidate with an older term learns of it.
   SendInTerm(from, is_granted ? term : hard_state_.term,
              VoteResponse{request.is_pre_vote, is_granted});
 }
 
 void Replica::Handle(ReplicaId from, Term term, const VoteResponse& response) {
-  const Role asking = response.is_pre_vote ? Role::kPreCandidate : Role::kCandidate;
-  if (role_ != asking || !log_.membership().IsVoter(from)) {
+  const Role expected_role = response.is_pre_vote ? Role::kPreCandidate : Role::kCandidate;
+  if (role_ != expected_role || !log_.membership().IsVoter(from)) {
     return;
   }
   if (response.is_granted && term != hard_state_.term + (response.is_pre_vote ? 1 : 0)) {
     return;
   }
   if (!response.is_granted && !response.is_pre_vote && refused_.empty()) {
-    // The vote may be split; waiting for a whole election timeout would not mend it.
+    // The vote may be split; retry after the shorter pre-vote delay instead of waiting for a whole
+    // election timeout.
     const base::TimePoint due = election_due_;
     SetElectionTimer(options_.pre_vote_delay, options_.pre_vote_spread);
     election_due_ = std::min(election_due_, due);
--- a/libraries/consensus/replica_follower.cc
+++ b/libraries/consensus/replica_follower.cc
@@ -11,7 +11,7 @@
   }
   RecordLeaderContact(from);
   if (request.previous_index < log_.commit()) {
-    // An old request; everything committed matches the leader's log.
+    // A delayed request; all committed entries match the leader's log.
     Send(from, AppendResponse{false, log_.commit(), 0, 0, 0});
     return;
   }
@@ -51,15 +51,15 @@
 void Replica::CommitChecked(Index commit, Term commit_term, Index verified) {
   log_.CommitTo(std::min(commit, verified));
   if (commit <= verified) {
-    // Equal index and term mean that all entries before are equal too.
+    // An equal index and term imply that all earlier entries are equal as well.
     const std::optional<Term> own_term = log_.TermAt(commit);
     VERIFY(!own_term || *own_term == commit_term);
   }
 }
 
 void Replica::RejectAppend(ReplicaId from, const AppendRequest& request) {
-  // The leader's log cannot match above the last entry here whose term is at most previous_term,
-  // so the leader skips a whole term with each answer.
+  // The leader's log cannot match above the last local entry whose term is at most previous_term,
+  // so the leader skips a whole term with each rejection.
   const Index hint = log_.FindAtMost(request.previous_index, request.previous_term);
   Send(from, AppendResponse{true, 0, request.previous_index, hint, *log_.TermAt(hint)});
 }
--- a/libraries/consensus/replica_leader.cc
+++ b/libraries/consensus/replica_leader.cc
@@ -18,7 +18,7 @@
       log_.BytesAfter(log_.commit()) + command.size() > options_.max_uncommitted_bytes) {
     return {ProposalStatus::kDropped};
   }
-  AppendOwn(EntryKind::kCommand, std::move(command));
+  AppendEntry(EntryKind::kCommand, std::move(command));
   return {ProposalStatus::kAppended, log_.last_index(), term()};
 }
 
@@ -29,8 +29,8 @@
   if (transfer_target_ != kNoReplica) {
     return {ProposalStatus::kDropped};
   }
-  // Until an entry of this term is committed, a change of an earlier leader may still be in force
-  // elsewhere, and two changes at once can produce majorities without a common member.
+  // Until an entry of this term is committed, an uncommitted change of an earlier leader may still
+  // be in effect on other replicas, and two concurrent changes can form disjoint majorities.
   if (HasPendingMembership() || log_.TermAt(log_.commit()) != term()) {
     return {ProposalStatus::kChangePending};
   }
@@ -44,7 +44,7 @@
   if (!HasActiveQuorum(after)) {
     return {ProposalStatus::kQuorumAtRisk};
   }
-  AppendOwn(EntryKind::kMembership, EncodeMembership(after));
+  AppendEntry(EntryKind::kMembership, EncodeMembership(after));
   SyncProgress();
   ProposalResult result{ProposalStatus::kAppended, log_.last_index(), term()};
   if (change.kind == MembershipChangeKind::kAddLearner) {
@@ -86,7 +86,7 @@
          found->second.match() + options_.catch_up_entries >= log_.last_index();
 }
 
-void Replica::AppendOwn(EntryKind kind, std::string data) {
+void Replica::AppendEntry(EntryKind kind, std::string data) {
   log_.Append({term(), log_.last_index() + 1, kind, std::move(data)});
 }
 
@@ -143,14 +143,15 @@
 void Replica::BroadcastHeartbeat() {
   for (const auto& [replica, progress] : progress_) {
     const Index commit = std::min(log_.commit(), progress.match());
-    // A follower whose match was compacted away here has the entry, or a snapshot above it.
+    // If the entry at match is compacted here, its term is unknown and no committed index is sent;
+    // the follower has the entry or will receive a snapshot above it.
     const std::optional<Term> commit_term = log_.TermAt(commit);
     Send(replica, Heartbeat{commit_term ? commit : 0, commit_term.value_or(0), reads_.round()});
   }
 }
 
 void Replica::StartReadRound() {
-  // The committed index is known to be current only after an entry of this term is committed.
+  // The committed index is known to be current only once an entry of this term is committed.
   if (!reads_.HasUnassigned() || log_.TermAt(log_.commit()) != term()) {
     return;
   }
@@ -194,9 +195,9 @@
       SendChunk(replica, progress);
       return;
     }
-    const bool has_news = progress.next() <= log_.last_index() ||
-                          progress.sent_commit() < std::min(log_.commit(), progress.match());
-    if (progress.mode() == Progress::Mode::kReplicate && !has_news) {
+    const bool has_updates = progress.next() <= log_.last_index() ||
+                             progress.sent_commit() < std::min(log_.commit(), progress.match());
+    if (progress.mode() == Progress::Mode::kReplicate && !has_updates) {
       return;
     }
     SendAppend(replica, progress);
@@ -218,7 +219,7 @@
   for (const Entry& entry : request.entries) {
     bytes += entry.data.size();
   }
-  progress.SendAppend(request.entries.size(), bytes, request.commit, now_);
+  progress.RecordAppend(request.entries.size(), bytes, request.commit, now_);
   Send(replica, std::move(request));
 }
 
@@ -232,7 +233,7 @@
   chunk.checksum = base::Hash(snapshot.data);
   chunk.offset = progress.snapshot_offset();
   chunk.data = snapshot.data.substr(chunk.offset, options_.snapshot_chunk_bytes);
-  progress.SendChunk(now_);
+  progress.RecordChunk(now_);
   Send(replica, std::move(chunk));
 }
 
@@ -241,7 +242,7 @@
   if (progress == nullptr) {
     return;
   }
-  progress->Hear(now_);
+  progress->RecordMessage(now_);
   if (!response.is_rejected) {
     VERIFY(response.match <= log_.last_index());
     if (progress->Acknowledge(response.match)) {
@@ -264,10 +265,10 @@
     return rejection.hint_index + 1;
   }
   const Index last = log_.FindAtMost(rejection.hint_index, rejection.hint_term);
-  // When even the base is of a later term, the logs part before it, and the follower needs the
-  // snapshot, which an index up to the base asks for.
-  const bool parts_before = *log_.TermAt(last) > rejection.hint_term;
-  return parts_before ? last : last + 1;
+  // If even the base entry has a later term, the logs diverge before it and the follower needs the
+  // snapshot; returning an index up to the base index starts its transfer.
+  const bool diverges_before_base = *log_.TermAt(last) > rejection.hint_term;
+  return diverges_before_base ? last : last + 1;
 }
 
 void Replica::Handle(ReplicaId from, Term /*term*/, const HeartbeatResponse& response) {
@@ -275,8 +276,8 @@
   if (progress == nullptr) {
     return;
   }
-  progress->Hear(now_);
-  progress->AnswerRound(response.round);
+  progress->RecordMessage(now_);
+  progress->AcknowledgeRound(response.round);
   ConfirmReads();
 }
 
@@ -285,7 +286,7 @@
   if (progress == nullptr) {
     return;
   }
-  progress->Hear(now_);
+  progress->RecordMessage(now_);
   progress->AcknowledgeChunk(response.index, response.offset, response.next_offset);
 }
 
@@ -299,12 +300,12 @@
   }
   std::sort(durable.rbegin(), durable.rend());
   const Index quorum_index = durable[log_.membership().quorum() - 1];
-  // An entry of an earlier term on a quorum may still be replaced by another leader.
+  // An entry of an earlier term may still be replaced by another leader, even if a quorum has it.
   if (quorum_index > log_.commit() && log_.TermAt(quorum_index) == term()) {
     log_.CommitTo(quorum_index);
   }
   if (!HasPendingMembership() && !log_.membership().Contains(id())) {
-    // The group committed this leader's removal; the others elect a new one.
+    // The removal of this leader is committed; the remaining voters elect a new one.
     SendAppends();
     BecomeFollower(term(), kNoReplica);
   }
--- a/libraries/consensus/snapshot.h
+++ b/libraries/consensus/snapshot.h
@@ -12,7 +12,7 @@
 
 namespace borageloft::consensus {
 
-/** State machine and membership after the entry at `index`. */
+/** State machine and membership as of the entry at `index`. */
 struct Snapshot {
   Index index = 0;
   Term term = 0;
@@ -22,20 +22,20 @@
   bool operator==(const Snapshot&) const = default;
 };
 
-/** Snapshots are shared by the replica and by transfers in progress, and never change. */
+/** Immutable snapshot, shared by the replica and the transfers in progress. */
 using SnapshotPointer = std::shared_ptr<const Snapshot>;
 
-/** What a replica starts from: exactly what was made durable. */
+/** State that a replica starts from: exactly what was made durable. */
 struct PersistedState {
   HardState hard_state;
-  /** Latest snapshot. At index 0 it holds the first membership of the group, or none. */
+  /** Latest snapshot. At index 0 it has the initial membership of the group, or an empty one. */
   SnapshotPointer snapshot;
   /** Entries without gaps. Entries up to the snapshot's index are ignored. */
   std::vector<Entry> entries;
 
   /**
-   * First state of a founding voter. To be used once in the life of a group: a host that lost its
-   * disk must use ForJoin(), since it has forgotten its votes.
+   * Initial state of a founding voter. Use it only when the group is created: a host that lost its
+   * disk must use ForJoin(), because its votes are lost as well.
    */
   static PersistedState ForBootstrap(ReplicaId replica, Membership membership) {
     return {{replica, 0, kNoReplica},
@@ -43,7 +43,7 @@
             {}};
   }
 
-  /** First state of a learner whose id was assigned by a committed membership change. */
+  /** Initial state of a learner whose id was assigned by a committed membership change. */
   static PersistedState ForJoin(ReplicaId replica) { return ForBootstrap(replica, Membership()); }
 };
 
--- a/libraries/consensus/snapshot_receiver.h
+++ b/libraries/consensus/snapshot_receiver.h
@@ -8,19 +8,20 @@
 
 namespace borageloft::consensus {
 
-/** Puts together the chunks of one snapshot at a time. */
+/** Assembles the chunks of one snapshot at a time. */
 class SnapshotReceiver {
  public:
   /**
-   * Takes one chunk; a chunk of another snapshot discards what was received before.
-   * @return The snapshot if this chunk completed it and the checksum holds, else nothing.
+   * Adds one chunk. A chunk of another snapshot discards the chunks received before; a chunk at an
+   * unexpected offset is ignored.
+   * @return The snapshot if this chunk completes it and the checksum matches, else null.
    */
   SnapshotPointer Take(const SnapshotChunk& chunk);
 
-  /** @return Offset of the chunk that is wanted next. */
+  /** @return Offset of the next expected chunk. */
   std::uint64_t next_offset() const { return data_.size(); }
 
-  /** Forgets the chunks received. */
+  /** Discards the received chunks. */
   void Reset();
 
  private:
--- a/libraries/consensus/types.h
+++ b/libraries/consensus/types.h
@@ -5,16 +5,16 @@
 
 namespace borageloft::consensus {
 
-/** Names one replica for its whole life. An id is never used again after its disk is lost. */
+/** Permanent id of a replica. An id is not reused after its disk is lost. */
 using ReplicaId = std::uint64_t;
 
-/** Number of an election; each term has at most one leader. */
+/** Raft term; each term has at most one leader. */
 using Term = std::uint64_t;
 
 /** Position in the replicated log; the first entry has index 1. */
 using Index = std::uint64_t;
 
-/** Stands for no replica, for example an unknown leader or a vote not yet given. */
+/** Id that means no replica, for example an unknown leader or no vote yet. */
 inline constexpr ReplicaId kNoReplica = 0;
 
 }  // namespace borageloft::consensus
--- a/tests/consensus/codec_test.cc
+++ b/tests/consensus/codec_test.cc
@@ -9,7 +9,7 @@
 namespace borageloft::consensus {
 namespace {
 
-std::vector<Message> Samples() {
+std::vector<Message> SampleMessages() {
   const Membership membership = Membership::OfVoters({"a", "b", "c"})
                                     .After({MembershipChangeKind::kAddLearner, kNoReplica, "d"});
   const std::vector<Entry> entries{{2, 8, EntryKind::kEmpty, ""},
@@ -26,16 +26,16 @@
           {1, 2, 3, TransferRequest{}}};
 }
 
-// Guards against a field that is lost or swapped between encoder and decoder.
+// Guards against a field that is lost or swapped between the encoder and the decoder.
 TEST(ConsensusCodecTest, MessagesSurviveRoundTrip) {
-  for (const Message& message : Samples()) {
+  for (const Message& message : SampleMessages()) {
     EXPECT_EQ(DecodeMessage(EncodeMessage(message)), message) << message.body.index();
   }
 }
 
-// Guards against crashes and partial messages on cut or extended input.
+// Guards against crashes on truncated or extended input, and against its acceptance as a message.
 TEST(ConsensusCodecTest, CutAndExtendedMessagesAreRefused) {
-  for (const Message& message : Samples()) {
+  for (const Message& message : SampleMessages()) {
     const std::string bytes = EncodeMessage(message);
     for (std::size_t size = 0; size < bytes.size(); ++size) {
       EXPECT_THROW(DecodeMessage(std::string_view(bytes).substr(0, size)), ConsensusError);
@@ -44,9 +44,9 @@
   }
 }
 
-// Guards against memory use that the sender controls.
+// Guards against memory use controlled by the sender.
 TEST(ConsensusCodecTest, BoundsAreEnforced) {
-  // An array header that claims 2^32 - 1 elements.
+  // An array header that declares 2^32 - 1 elements.
   EXPECT_THROW(DecodeMessage(std::string_view("\xdd\xff\xff\xff\xff", 5)), ConsensusError);
   EXPECT_THROW(DecodeMessage(std::string(1000, '\x91')), ConsensusError);
   EXPECT_THROW(DecodeMessage(std::string(kMaxMessageBytes + 1, '\0')), ConsensusError);
@@ -68,8 +68,8 @@
   EXPECT_THROW(DecodeSnapshot(EncodeHardState(state)), ConsensusError);
 }
 
-// Guards against the return of inputs that once broke the decoder. Files named ok-* must decode,
-// all others must be refused.
+// Guards against regressions on inputs that once broke the decoder. Files named ok-* must decode;
+// all others must be rejected.
 TEST(ConsensusCodecTest, CorpusIsReplayed) {
   std::size_t count = 0;
   for (const auto& file : std::filesystem::directory_iterator(BORAGELOFT_CORPUS)) {
--- a/tests/consensus/message_fuzz.cc
+++ b/tests/consensus/message_fuzz.cc
@@ -5,7 +5,7 @@
 
 #include "libraries/consensus/consensus.h"
 
-// Decodes arbitrary bytes; whatever decodes must survive another round trip unchanged.
+// Decodes arbitrary bytes. A message that decodes must survive another round trip unchanged.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace borageloft::consensus;  // NOLINT(google-build-using-namespace)
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
--- a/tests/consensus/replica_test.cc
+++ b/tests/consensus/replica_test.cc
@@ -12,7 +12,7 @@
 
 class VerifyFailure : public std::exception {};
 
-/** Replicas on a lossless network that delivers at once, with a set of cut-off replicas. */
+/** Replicas on a lossless network without latency, some of which can be partitioned off. */
 class ReplicaTest : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -35,8 +35,8 @@
     return replicas_.try_emplace(id, options_, base::SeededRandom(id), state, now_).first->second;
   }
 
-  /** Persists and applies all work of one replica. @return The messages to send. */
-  std::vector<Message> Work(ReplicaId id) {
+  /** Persists and applies all Ready objects of one replica. @return The messages to send. */
+  std::vector<Message> ProcessReady(ReplicaId id) {
     std::vector<Message> messages;
     while (auto ready = replicas_.at(id).TakeReady()) {
       PersistedState& disk = disks_[id];
@@ -59,12 +59,12 @@
   }
 
   /** Delivers messages until none is left. */
-  void Settle() {
-    for (bool is_moving = true; is_moving;) {
-      is_moving = false;
+  void DeliverAll() {
+    for (bool has_messages = true; has_messages;) {
+      has_messages = false;
       for (auto& [id, replica] : replicas_) {
-        for (Message& message : Work(id)) {
-          is_moving = true;
+        for (Message& message : ProcessReady(id)) {
+          has_messages = true;
           sent_.push_back(message);
           if (!cut_off_.contains(message.from) && !cut_off_.contains(message.to) &&
               replicas_.contains(message.to)) {
@@ -75,18 +75,18 @@
     }
   }
 
-  void Pass(milliseconds time) {
+  void AdvanceTime(milliseconds time) {
     for (milliseconds passed(0); passed < time; passed += milliseconds(10)) {
       now_ += milliseconds(10);
       for (auto& [id, replica] : replicas_) {
         replica.Tick(now_);
       }
-      Settle();
+      DeliverAll();
     }
   }
 
-  Replica& Elect() {
-    Pass(milliseconds(1500));
+  Replica& ElectLeader() {
+    AdvanceTime(milliseconds(1500));
     for (auto& [id, replica] : replicas_) {
       if (replica.is_leader()) {
         return replica;
@@ -113,53 +113,53 @@
   std::vector<ReadState> reads_;
 };
 
-// Guards against a follower that returns from a partition with a raised term and unseats the
+// Guards against a follower that returns from a partition with a higher term and deposes the
 // leader.
 TEST_F(ReplicaTest, ReturningFollowerDoesNotDisturbLeader) {
   StartVoters(3);
-  Replica& leader = Elect();
+  Replica& leader = ElectLeader();
   const Term term = leader.term();
   const ReplicaId follower = OtherThan(leader.id());
   cut_off_.insert(follower);
-  Pass(milliseconds(5000));
+  AdvanceTime(milliseconds(5000));
   EXPECT_EQ(replicas_.at(follower).term(), term);
   cut_off_.clear();
-  Pass(milliseconds(2000));
+  AdvanceTime(milliseconds(2000));
   EXPECT_TRUE(leader.is_leader());
   EXPECT_EQ(leader.term(), term);
 }
 
-// Guards against a power loss after which two candidates split the votes of those that are left,
-// and the group waits for a whole election timeout.
+// Guards against a whole election timeout without leader after a power loss, when two candidates
+// split the votes of the remaining voters.
 TEST_F(ReplicaTest, ASplitVoteIsRepeatedSoon) {
   StartVoters(5);
   Replica& replica = replicas_.at(1);
   now_ += options_.pre_vote_delay + options_.pre_vote_spread;
   replica.Tick(now_);
-  Work(1);
+  ProcessReady(1);
   const Term term = replica.term() + 1;
   replica.Step({2, 1, term, VoteResponse{true, true}});
   replica.Step({3, 1, term, VoteResponse{true, true}});
-  Work(1);
+  ProcessReady(1);
   ASSERT_EQ(replica.term(), term);
   replica.Step({2, 1, term, VoteResponse{false, false}});
-  Work(1);
+  ProcessReady(1);
   now_ += options_.pre_vote_delay + options_.pre_vote_spread;
   replica.Tick(now_);
-  const std::vector<Message> messages = Work(1);
+  const std::vector<Message> messages = ProcessReady(1);
   ASSERT_FALSE(messages.empty());
   const auto* request = std::get_if<VoteRequest>(&messages[0].body);
   ASSERT_NE(request, nullptr);
   EXPECT_TRUE(request->is_pre_vote);
 }
 
-// Guards against a cut-off leader that goes on accepting proposals and reads.
+// Guards against a partitioned leader that continues to accept proposals and reads.
 TEST_F(ReplicaTest, LeaderWithoutQuorumStepsDownAndDropsReads) {
   StartVoters(3);
-  Replica& leader = Elect();
+  Replica& leader = ElectLeader();
   cut_off_.insert(leader.id());
   ASSERT_TRUE(leader.RequestRead(7));
-  Pass(milliseconds(510));
+  AdvanceTime(milliseconds(510));
   EXPECT_EQ(leader.role(), Role::kFollower);
   EXPECT_EQ(leader.Propose("x").status, ProposalStatus::kNotLeader);
   EXPECT_FALSE(leader.RequestRead(8));
@@ -173,7 +173,7 @@
   milliseconds longest(0);
   for (int round = 0; round < 200; ++round) {
     cut_off_.clear();
-    const ReplicaId old_leader = Elect().id();
+    const ReplicaId old_leader = ElectLeader().id();
     cut_off_.insert(old_leader);
     milliseconds passed(0);
     const auto has_successor = [&] {
@@ -182,7 +182,7 @@
       });
     };
     for (; !has_successor() && passed < milliseconds(10'000); passed += milliseconds(10)) {
-      Pass(milliseconds(10));
+      AdvanceTime(milliseconds(10));
     }
     longest = std::max(longest, passed);
   }
@@ -190,41 +190,41 @@
   EXPECT_LE(longest, milliseconds(2000));
 }
 
-// Guards against reads that are answered without a heartbeat round, or with an index too low.
+// Guards against reads that are confirmed without a heartbeat round, or with too low an index.
 TEST_F(ReplicaTest, ReadNeedsOneRoundAndSeesEarlierCommits) {
   StartVoters(3);
-  Replica& leader = Elect();
+  Replica& leader = ElectLeader();
   leader.Propose("x");
-  Settle();
+  DeliverAll();
   sent_.clear();
   ASSERT_TRUE(leader.RequestRead(1));
   ASSERT_TRUE(leader.RequestRead(2));
-  const std::vector<Message> round = Work(leader.id());
-  EXPECT_EQ(round.size(), 2U) << "two reads share one heartbeat to each follower";
+  const std::vector<Message> round = ProcessReady(leader.id());
+  EXPECT_EQ(round.size(), 2U) << "two reads must share one heartbeat per follower";
   EXPECT_TRUE(reads_.empty());
   for (const Message& message : round) {
     replicas_.at(message.to).Step(message);
   }
-  Settle();
+  DeliverAll();
   ASSERT_EQ(reads_.size(), 2U);
   EXPECT_TRUE(reads_[0].is_confirmed);
   EXPECT_EQ(reads_[0].index, leader.commit());
 }
 
-// Guards against back-off by one entry at a time over a long divergent log.
+// Guards against probing a long divergent log one entry at a time.
 TEST_F(ReplicaTest, DivergentLogMatchesAfterFewRejections) {
   StartVoters(3);
-  Replica& leader = Elect();
+  Replica& leader = ElectLeader();
   const ReplicaId old_leader = leader.id();
   cut_off_.insert(old_leader);
   for (int i = 0; i < 500; ++i) {
     ASSERT_EQ(leader.Propose("lost").status, ProposalStatus::kAppended);
   }
-  Settle();
-  Pass(milliseconds(3000));
+  DeliverAll();
+  AdvanceTime(milliseconds(3000));
   cut_off_.clear();
   sent_.clear();
-  Pass(milliseconds(1000));
+  AdvanceTime(milliseconds(1000));
   const Replica& follower = replicas_.at(old_leader);
   EXPECT_FALSE(follower.is_leader());
   std::size_t rejections = 0;
@@ -236,13 +236,13 @@
   EXPECT_LT(follower.last_index(), 10U);
 }
 
-// Guards against unbounded memory and link use by a follower that acknowledges slowly.
+// Guards against unbounded memory and bandwidth use for a follower that acknowledges slowly.
 TEST_F(ReplicaTest, InFlightAndUncommittedBytesAreBounded) {
   options_.max_append_bytes = 1000;
   options_.max_in_flight_bytes = 4000;
   options_.max_uncommitted_bytes = 20'000;
   StartVoters(3);
-  Replica& leader = Elect();
+  Replica& leader = ElectLeader();
   int appended = 0;
   while (leader.Propose(std::string(500, 'x')).status == ProposalStatus::kAppended) {
     ++appended;
@@ -250,120 +250,122 @@
   EXPECT_EQ(leader.Propose(std::string(500, 'x')).status, ProposalStatus::kDropped);
   EXPECT_LE(appended * 500, 20'000);
   std::map<ReplicaId, std::size_t> bytes;
-  for (const Message& message : Work(leader.id())) {
+  for (const Message& message : ProcessReady(leader.id())) {
     bytes[message.to] += EncodeMessage(message).size();
   }
   for (const auto& [to, sum] : bytes) {
     EXPECT_LE(sum, 6000U);
-    EXPECT_GT(sum, 3000U) << "requests are not pipelined";
+    EXPECT_GT(sum, 3000U) << "append requests must be pipelined";
   }
-  Pass(milliseconds(500));
-  EXPECT_EQ(leader.commit(), leader.last_index()) << "lost requests are sent again";
+  AdvanceTime(milliseconds(500));
+  EXPECT_EQ(leader.commit(), leader.last_index()) << "unacknowledged requests must be sent again";
   EXPECT_EQ(leader.Propose(std::string(kMaxCommandBytes + 1, 'x')).status,
             ProposalStatus::kTooLarge);
 }
 
-// Guards against a follower that is behind the log and can never catch up, and against chunks
-// without bound.
+// Guards against a follower that lacks compacted entries and can never catch up, and against chunks
+// of unlimited size.
 TEST_F(ReplicaTest, SnapshotIsTransferredInChunks) {
   options_.snapshot_chunk_bytes = 100;
   StartVoters(3);
-  Replica& leader = Elect();
+  Replica& leader = ElectLeader();
   const ReplicaId follower = OtherThan(leader.id());
   cut_off_.insert(follower);
   for (int i = 0; i < 300; ++i) {
     leader.Propose("x");
-    Settle();
+    DeliverAll();
   }
   leader.Compact(leader.MakeSnapshot(leader.applied(), std::string(1050, 's')));
   cut_off_.clear();
   sent_.clear();
-  Pass(milliseconds(1000));
+  AdvanceTime(milliseconds(1000));
   EXPECT_EQ(replicas_.at(follower).commit(), leader.commit());
   EXPECT_EQ(disks_[follower].snapshot->data, std::string(1050, 's'));
   EXPECT_EQ(CountSent<SnapshotChunk>(follower), 11U);
 }
 
-// Guards against a voter that lacks entries, and against two membership changes at once.
+// Guards against promoting a learner that lacks entries, and against two concurrent membership
+// changes.
 TEST_F(ReplicaTest, LearnerIsPromotedOnlyOnceCaughtUp) {
   options_.catch_up_entries = 10;
   StartVoters(3);
-  Replica& leader = Elect();
+  Replica& leader = ElectLeader();
   for (int i = 0; i < 50; ++i) {
     leader.Propose("x");
   }
-  Settle();
+  DeliverAll();
   const ProposalResult added =
       leader.ProposeMembership({MembershipChangeKind::kAddLearner, kNoReplica, "new"});
   EXPECT_EQ(added.assigned, 4U);
   EXPECT_EQ(leader.ProposeMembership({MembershipChangeKind::kRemove, 1, ""}).status,
             ProposalStatus::kChangePending);
-  Settle();
+  DeliverAll();
   const MembershipChange promotion{MembershipChangeKind::kPromoteLearner, 4, ""};
   EXPECT_EQ(leader.ProposeMembership(promotion).status, ProposalStatus::kNotCaughtUp);
   Start(PersistedState::ForJoin(4));
-  Pass(milliseconds(500));
+  AdvanceTime(milliseconds(500));
   EXPECT_EQ(leader.ProposeMembership(promotion).status, ProposalStatus::kAppended);
-  Settle();
+  DeliverAll();
   EXPECT_TRUE(replicas_.at(4).membership().IsVoter(4));
 }
 
-// Guards against a second vote in a term by a host that lost its disk: the old id never returns.
+// Guards against a second vote in the same term by a host that lost its disk: its old id must not
+// be reused.
 TEST_F(ReplicaTest, LostDiskNeedsNewId) {
   EXPECT_THROW(Replica(options_, base::SeededRandom(1), PersistedState{}, now_), ConsensusError);
   StartVoters(3);
-  Replica& leader = Elect();
+  Replica& leader = ElectLeader();
   const ReplicaId lost = OtherThan(leader.id());
   replicas_.erase(lost);
-  Pass(milliseconds(600));
+  AdvanceTime(milliseconds(600));
   ASSERT_EQ(leader.ProposeMembership({MembershipChangeKind::kRemove, lost, ""}).status,
             ProposalStatus::kAppended);
-  Settle();
+  DeliverAll();
   const ProposalResult added =
       leader.ProposeMembership({MembershipChangeKind::kAddLearner, kNoReplica, "host"});
   EXPECT_EQ(added.assigned, 4U);
-  Settle();
+  DeliverAll();
   Replica& rejoined = Start(PersistedState::ForJoin(4));
   rejoined.Step({leader.id(), lost, 99, VoteRequest{false, false, 99, 99}});
   EXPECT_EQ(rejoined.term(), 0U) << "messages to the old id must be ignored";
   cut_off_.insert(leader.id());
-  Pass(milliseconds(3000));
-  EXPECT_EQ(rejoined.role(), Role::kFollower) << "a learner does not campaign";
+  AdvanceTime(milliseconds(3000));
+  EXPECT_EQ(rejoined.role(), Role::kFollower) << "a learner must not campaign";
 }
 
-// Guards against removing so many voters that no quorum can be reached.
+// Guards against a membership change that leaves no reachable quorum.
 TEST_F(ReplicaTest, ChangeThatLosesQuorumIsRefused) {
   StartVoters(3);
-  Replica& leader = Elect();
-  const ReplicaId dead = OtherThan(leader.id());
-  const ReplicaId alive = 6 - dead - leader.id();
-  replicas_.erase(dead);
-  Pass(milliseconds(600));
-  EXPECT_EQ(leader.ProposeMembership({MembershipChangeKind::kRemove, alive, ""}).status,
+  Replica& leader = ElectLeader();
+  const ReplicaId stopped = OtherThan(leader.id());
+  const ReplicaId running = 6 - stopped - leader.id();
+  replicas_.erase(stopped);
+  AdvanceTime(milliseconds(600));
+  EXPECT_EQ(leader.ProposeMembership({MembershipChangeKind::kRemove, running, ""}).status,
             ProposalStatus::kQuorumAtRisk);
-  EXPECT_EQ(leader.ProposeMembership({MembershipChangeKind::kRemove, dead, ""}).status,
+  EXPECT_EQ(leader.ProposeMembership({MembershipChangeKind::kRemove, stopped, ""}).status,
             ProposalStatus::kAppended);
 }
 
-// Guards against a vote forgotten over a restart.
+// Guards against a vote that is lost on restart.
 TEST_F(ReplicaTest, VoteSurvivesRestart) {
   StartVoters(3);
   replicas_.at(1).Step({2, 1, 5, VoteRequest{false, false, 0, 0}});
-  Work(1);
+  ProcessReady(1);
   Start(disks_[1]).Step({3, 1, 5, VoteRequest{false, false, 0, 0}});
-  const std::vector<Message> answers = Work(1);
-  ASSERT_EQ(answers.size(), 1U);
-  EXPECT_FALSE(std::get<VoteResponse>(answers[0].body).is_granted);
+  const std::vector<Message> responses = ProcessReady(1);
+  ASSERT_EQ(responses.size(), 1U);
+  EXPECT_FALSE(std::get<VoteResponse>(responses[0].body).is_granted);
 }
 
-// Guards against silent acceptance of two leaders in one term.
+// Guards against accepting a second leader in the same term without an error.
 TEST_F(ReplicaTest, SecondLeaderInTermIsVerified) {
   StartVoters(3);
   replicas_.at(1).Step({2, 1, 5, Heartbeat{}});
   EXPECT_THROW(replicas_.at(1).Step({3, 1, 5, Heartbeat{}}), VerifyFailure);
 }
 
-// Guards against silent acceptance of a log that differs below the committed index.
+// Guards against accepting a log that differs below the committed index without an error.
 TEST_F(ReplicaTest, ConflictWithCommittedEntryIsVerified) {
   StartVoters(3);
   Replica& replica = replicas_.at(1);
@@ -372,7 +374,7 @@
   EXPECT_THROW(replica.Step({2, 1, 5, Heartbeat{1, 4, 0}}), VerifyFailure);
 }
 
-// Guards against committing an entry of an earlier term by counting replicas: another leader may
+// Guards against committing an entry of an earlier term because a quorum has it: another leader may
 // still replace it.
 TEST_F(ReplicaTest, EntryOfEarlierTermIsCommittedOnlyWithOneOfThisTerm) {
   PersistedState state = PersistedState::ForBootstrap(1, Membership::OfVoters({"a", "b", "c"}));
@@ -384,22 +386,22 @@
   replica.Step({2, 1, 2, VoteResponse{true, true}});
   replica.Step({2, 1, 2, VoteResponse{false, true}});
   ASSERT_TRUE(replica.is_leader());
-  Work(1);
+  ProcessReady(1);
   replica.Step({2, 1, 2, AppendResponse{false, 1, 0, 0, 0}});
   EXPECT_EQ(replica.commit(), 0U);
   EXPECT_EQ(replica.ProposeMembership({MembershipChangeKind::kRemove, 3, ""}).status,
             ProposalStatus::kChangePending)
-      << "a change needs a committed entry of this term first";
+      << "a membership change needs a committed entry of this term first";
   ASSERT_TRUE(replica.RequestRead(1));
-  Work(1);
+  ProcessReady(1);
   replica.Step({2, 1, 2, HeartbeatResponse{99}});
-  Work(1);
+  ProcessReady(1);
   EXPECT_TRUE(reads_.empty()) << "the committed index is not known to be current yet";
   replica.Step({2, 1, 2, AppendResponse{false, 2, 0, 0, 0}});
   EXPECT_EQ(replica.commit(), 2U);
 }
 
-// Guards against counting entries as durable that were replaced while they were being written.
+// Guards against treating entries as durable that were replaced while they were being written.
 TEST_F(ReplicaTest, EntriesReplacedDuringPersistenceAreWrittenAgain) {
   StartVoters(3);
   Replica& replica = replicas_.at(1);
@@ -412,13 +414,13 @@
   EXPECT_EQ(second->entries[0].data, "new");
 }
 
-// Guards against a shutdown that leaves the group without leader until an election timeout.
+// Guards against a shutdown that leaves the group without a leader until an election timeout.
 TEST_F(ReplicaTest, TransferMovesLeadershipAtOnce) {
   StartVoters(3);
-  Replica& leader = Elect();
+  Replica& leader = ElectLeader();
   ASSERT_TRUE(leader.TransferLeadership());
   EXPECT_EQ(leader.Propose("x").status, ProposalStatus::kDropped);
-  Settle();
+  DeliverAll();
   EXPECT_FALSE(leader.is_leader());
   EXPECT_NE(leader.leader(), leader.id());
   EXPECT_NE(leader.leader(), kNoReplica);
--- a/tests/consensus/simulation.cc
+++ b/tests/consensus/simulation.cc
@@ -41,9 +41,9 @@
 
 void Simulation::Step() {
   now_ += microseconds(base::DrawBelow(random_, 1000));
-  Run(AnyHost());
+  RunHost(AnyHost());
   if (Chance(4)) {
-    Offer();
+    SubmitRequest();
   }
   if (Chance(20)) {
     RepairMembership();
@@ -56,7 +56,7 @@
 void Simulation::HealAndConverge() {
   is_healed_ = true;
   blocked_until_.clear();
-  const auto is_whole = [&] {
+  const auto is_converged = [&] {
     return std::all_of(hosts_.begin(), hosts_.end(), [&](Host& host) {
       return host.replica && host.replica->membership().IsVoter(host.id) &&
              host.replica->membership().members().size() == hosts_.size() &&
@@ -65,9 +65,9 @@
   };
   const Index goal = applied_.size() + 50;
   const base::TimePoint deadline = now_ + std::chrono::seconds(60);
-  while (!is_whole() || applied_.size() < goal) {
+  while (!is_converged() || applied_.size() < goal) {
     Step();
-    Require(now_ < deadline, "the group does not converge after all faults ended");
+    Require(now_ < deadline, "group did not converge after all faults ended");
   }
 }
 
@@ -88,7 +88,7 @@
   return leader;
 }
 
-void Simulation::Run(Host& host) {
+void Simulation::RunHost(Host& host) {
   if (!host.replica) {
     if (host.id != kNoReplica && now_ >= host.down_until) {
       Start(host);
@@ -98,15 +98,15 @@
   if (!is_healed_ && now_ < host.paused_until) {
     return;
   }
-  // A host that was paused may handle old messages, proposals and reads before it sees the time.
+  // A resumed host may handle old messages, proposals and reads before its next tick.
   if (Chance(2)) {
     host.replica->Tick(TimeAt(host));
   }
   Deliver(host);
-  Check(host);
-  DoReady(host);
+  CheckInvariants(host);
+  ProcessReady(host);
   if (host.replica) {
-    Check(host);
+    CheckInvariants(host);
   }
 }
 
@@ -119,7 +119,7 @@
       --budget;
       it = network_.erase(it);
     } else {
-      // Messages to hosts that are down or gone are lost.
+      // Messages to hosts that are down or have no replica id are lost.
       const Host* to = FindHost(message.to);
       it = to == nullptr || !to->replica ? network_.erase(it) : std::next(it);
     }
@@ -130,36 +130,36 @@
   return base::TimePoint(now_.time_since_epoch() * host.clock_percent / 100);
 }
 
-void Simulation::DoReady(Host& host) {
+void Simulation::ProcessReady(Host& host) {
   if (!host.ready) {
     host.ready = host.replica->TakeReady();
     host.is_persisted = false;
   } else if (!host.is_persisted) {
     Persist(host, /*is_torn=*/false);
   } else {
-    Finish(host);
+    FinishReady(host);
   }
 }
 
 void Simulation::Persist(Host& host, bool is_torn) {
   const Ready& ready = *host.ready;
-  // A torn write stops after a random number of the steps.
+  // A torn write stops after a random number of write steps.
   const std::size_t steps = ready.entries.size() + 5;
   std::size_t budget = is_torn ? base::DrawBelow(random_, steps) : steps;
-  const auto is_left = [&] { return budget > 0 && budget-- > 0; };
+  const auto take_step = [&] { return budget > 0 && budget-- > 0; };
   std::vector<Entry>& stored = host.disk.entries;
-  if (ready.hard_state && is_left()) {
+  if (ready.hard_state && take_step()) {
     host.disk.hard_state = *ready.hard_state;
   }
-  if (ready.snapshot && is_left()) {
+  if (ready.snapshot && take_step()) {
     host.disk.snapshot = ready.snapshot;
     stored.clear();
   }
-  if (!ready.entries.empty() && is_left()) {
+  if (!ready.entries.empty() && take_step()) {
     const Index first = ready.entries.front().index;
     std::erase_if(stored, [&](const Entry& entry) { return entry.index >= first; });
     for (const Entry& entry : ready.entries) {
-      if (!is_left()) {
+      if (!take_step()) {
         break;
       }
       stored.push_back(DecodeEntry(EncodeEntry(entry)));
@@ -168,7 +168,7 @@
   host.is_persisted = true;
 }
 
-void Simulation::Finish(Host& host) {
+void Simulation::FinishReady(Host& host) {
   const Ready ready = std::move(*host.ready);
   host.ready.reset();
   if (ready.snapshot) {
@@ -176,7 +176,7 @@
     host.applied = ready.snapshot->index;
     host.digest = std::stoull(data);
     Require(host.applied < applied_.size() && applied_[host.applied].digest == host.digest,
-            "an installed snapshot differs from the committed entries");
+            "installed snapshot differs from the committed entries");
     ++counts_.snapshots_installed;
   }
   for (const Message& message : ready.messages) {
@@ -187,8 +187,9 @@
   }
   for (const ReadState& read : ready.read_states) {
     const auto found = reads_.find(read.context);
-    Require(found != reads_.end(), "a read was answered twice");
-    Require(!read.is_confirmed || read.index >= found->second, "a read shows old state");
+    Require(found != reads_.end(), "read completed twice");
+    Require(!read.is_confirmed || read.index >= found->second,
+            "confirmed read has an index below an earlier commit");
     counts_.reads += read.is_confirmed ? 1 : 0;
     reads_.erase(found);
   }
@@ -199,7 +200,7 @@
 }
 
 void Simulation::Apply(Host& host, const Entry& entry) {
-  Require(entry.index == host.applied + 1, "entries are applied out of order");
+  Require(entry.index == host.applied + 1, "entries applied out of order");
   host.applied = entry.index;
   host.digest = base::Hash(entry.data, host.digest + entry.term);
   if (entry.index == applied_.size()) {
@@ -207,7 +208,7 @@
     ++counts_.commits;
   }
   Require(applied_[entry.index].term == entry.term && applied_[entry.index].digest == host.digest,
-          "two replicas committed different entries at one index");
+          "two replicas committed different entries at the same index");
 }
 
 void Simulation::TakeSnapshot(Host& host) {
@@ -223,19 +224,20 @@
 void Simulation::Send(Host& host, const Message& message) {
   const auto* request = std::get_if<VoteRequest>(&message.body);
   const auto* response = std::get_if<VoteResponse>(&message.body);
-  // Only a pre-vote and its grant name a term that the sender has not entered.
+  // Only a pre-vote request and its grant carry a term that the sender has not entered.
   const bool is_pre_vote = (request != nullptr && request->is_pre_vote) ||
                            (response != nullptr && response->is_pre_vote && response->is_granted);
   Require(is_pre_vote || message.term <= host.disk.hard_state.term,
-          "a message precedes its term on disk");
+          "message sent before its term was durable");
   if (response != nullptr && response->is_granted && !response->is_pre_vote) {
     const auto [found, is_new] = votes_.try_emplace({message.from, message.term}, message.to);
-    Require(is_new || found->second == message.to, "a replica voted for two candidates in a term");
-    // A later term on disk rules out another vote in this term just as well.
+    Require(is_new || found->second == message.to,
+            "replica voted for two candidates in the same term");
+    // A later durable term also rules out another vote in this term.
     const HardState& durable = host.disk.hard_state;
     Require(
         durable.term > message.term || (durable.term == message.term && durable.vote == message.to),
-        "a vote was answered before it was durable");
+        "vote granted before it was durable");
   }
   const auto blocked = blocked_until_.find({message.from, message.to});
   const bool is_blocked = blocked != blocked_until_.end() && now_ < blocked->second;
@@ -249,11 +251,11 @@
   }
 }
 
-void Simulation::Check(Host& host) {
+void Simulation::CheckInvariants(Host& host) {
   const Replica& replica = *host.replica;
-  Require(replica.commit() >= host.seen_commit, "the committed index moved back");
+  Require(replica.commit() >= host.seen_commit, "committed index decreased");
   host.seen_commit = replica.commit();
-  Require(host.applied <= replica.commit(), "an uncommitted entry was applied");
+  Require(host.applied <= replica.commit(), "uncommitted entry applied");
   if (replica.is_leader() && replica.term() != host.seen_leader_term) {
     host.seen_leader_term = replica.term();
     CheckNewLeader(host);
@@ -264,11 +266,10 @@
   const Replica& replica = *host.replica;
   ++counts_.leaders;
   const auto [found, is_new] = leaders_.try_emplace(replica.term(), replica.id());
-  Require(is_new || found->second == replica.id(), "a term has two leaders");
+  Require(is_new || found->second == replica.id(), "two leaders in the same term");
   for (Index index = applied_.size() - 1; index > replica.snapshot_index(); --index) {
-    if (applied_[index].first_applied_in < replica.term()) {
-      Require(replica.TermAt(index) == applied_[index].term,
-              "a new leader lacks committed entries");
+    if (applied_[index].first_applied_term < replica.term()) {
+      Require(replica.TermAt(index) == applied_[index].term, "new leader lacks committed entries");
       return;
     }
   }
@@ -298,7 +299,7 @@
 }
 
 void Simulation::InjectFault() {
-  // Half of the faults strike the leader, since most races need a change of leader.
+  // Half of the faults hit the leader, because most races need a change of leader.
   Host* leader = Leader();
   Host& host = leader != nullptr && Chance(2) ? *leader : AnyHost();
   switch (base::DrawBelow(random_, 7)) {
@@ -307,15 +308,15 @@
       Crash(host, /*loses_disk=*/false);
       break;
     case 2: {
-      // Of a second disk lost before the first host is replaced no quorum may be left, so only
-      // crashes and partitions may overlap with a repair.
-      const bool is_whole =
+      // If a second disk is lost before the first host is replaced, the group may lose its quorum
+      // for good. Only crashes and partitions may therefore overlap with a repair.
+      const bool is_fully_repaired =
           leader != nullptr && !leader->replica->HasPendingMembership() &&
           leader->replica->membership().voter_count() == hosts_.size() &&
           std::all_of(hosts_.begin(), hosts_.end(), [&](const Host& other) {
             return other.id != kNoReplica && leader->replica->membership().IsVoter(other.id);
           });
-      if (is_whole) {
+      if (is_fully_repaired) {
         Crash(host, /*loses_disk=*/true);
       }
       break;
@@ -345,19 +346,19 @@
   }
 }
 
-void Simulation::Offer() {
+void Simulation::SubmitRequest() {
   Host& host = AnyHost();
   if (!host.replica) {
     return;
   }
   if (Chance(3)) {
-    // Everything applied anywhere was committed before this read.
+    // Every entry applied on any host was committed before this read.
     if (host.replica->RequestRead(++sequence_)) {
       reads_[sequence_] = applied_.size() - 1;
     }
     return;
   }
-  // Several hosts may believe to be leader and race for the same index.
+  // Several hosts may act as leader and append different commands at the same index.
   std::string command = fmt::format("{}:{}", host.name, ++sequence_);
   command.append(base::DrawBelow(random_, 60), 'c');
   host.replica->Propose(std::move(command));
@@ -391,7 +392,7 @@
       if (!member.is_voter && replica.HasCaughtUp(id) &&
           propose(MembershipChangeKind::kPromoteLearner, id, "")) {
         ++counts_.promotions;
-        // The second failure strikes right after the repair.
+        // A second failure right after the repair.
         if (!is_healed_ && Chance(2)) {
           Crash(AnyHost(), /*loses_disk=*/false);
         }
--- a/tests/consensus/simulation.h
+++ b/tests/consensus/simulation.h
@@ -14,13 +14,13 @@
 
 namespace borageloft::consensus {
 
-/** A broken invariant of the group. */
+/** Thrown when an invariant of the group is violated. */
 class InvariantFailure : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/** What a run did, so that a test can tell that it exercised the faults. */
+/** Event counts of a run, so that a test can verify that the faults occurred. */
 struct SimulationCounts {
   std::uint64_t commits = 0;
   std::uint64_t leaders = 0;
@@ -33,18 +33,19 @@
 };
 
 /**
- * Three to five real replicas on a manual clock, with a network that loses, duplicates, delays and
- * reorders messages, hosts whose clocks run at different speeds, and hosts that pause, restart from
- * exactly what they persisted or lose their disks. The same seed gives the same run.
+ * Deterministic simulation of three to five replicas on a manual clock. The network loses,
+ * duplicates, delays and reorders messages. The clocks of the hosts run at different speeds, and
+ * hosts pause, restart from exactly what they persisted, or lose their disks. The same seed gives
+ * the same run.
  */
 class Simulation {
  public:
   explicit Simulation(std::uint64_t seed);
 
-  /** Does one random step and checks the invariants of the replica that moved. */
+  /** Runs one random step of one host and checks the invariants of its replica. */
   void Step();
 
-  /** Ends all faults and requires that the group repairs itself and commits on every host. */
+  /** Stops all faults and requires that the group recovers and commits on every host. */
   void HealAndConverge();
 
   const SimulationCounts& counts() const { return counts_; }
@@ -56,20 +57,21 @@
     std::optional<Replica> replica;
     std::optional<Ready> ready;
     bool is_persisted = false;
-    ReplicaId id = kNoReplica;  // Kept over restarts; none after the disk was lost.
+    ReplicaId id = kNoReplica;  // Kept across restarts; kNoReplica after the disk was lost.
     std::set<ReplicaId> used_ids;
-    // The state machine is a chain of hashes over all entries.
+    // The state machine is a hash chain over all entries.
     Index applied = 0;
     std::uint64_t digest = 0;
     Index seen_commit = 0;
     Term seen_leader_term = 0;
     base::TimePoint down_until;
     base::TimePoint paused_until;
-    std::int64_t clock_percent = 100;  // Speed of the host's clock.
+    std::int64_t clock_percent =
+        100;  // Speed of the host's clock in percent of the simulated time.
   };
   struct Applied {
     Term term;
-    Term first_applied_in;  // Upper bound of the term in which the entry was committed.
+    Term first_applied_term;  // Upper bound for the term in which the entry was committed.
     std::uint64_t digest;
   };
 
@@ -78,20 +80,20 @@
   Host* FindHost(ReplicaId id);
   Host* Leader();
   base::TimePoint TimeAt(const Host& host) const;
-  void Run(Host& host);
+  void RunHost(Host& host);
   void Deliver(Host& host);
-  void DoReady(Host& host);
+  void ProcessReady(Host& host);
   void Persist(Host& host, bool is_torn);
-  void Finish(Host& host);
+  void FinishReady(Host& host);
   void Apply(Host& host, const Entry& entry);
   void TakeSnapshot(Host& host);
   void Send(Host& host, const Message& message);
-  void Check(Host& host);
+  void CheckInvariants(Host& host);
   void CheckNewLeader(const Host& host);
   void Start(Host& host);
   void Crash(Host& host, bool loses_disk);
   void InjectFault();
-  void Offer();
+  void SubmitRequest();
   void RepairMembership();
   void Require(bool condition, const char* what) const;
 
@@ -103,11 +105,11 @@
   std::map<std::pair<ReplicaId, ReplicaId>, base::TimePoint> blocked_until_;
   Index snapshot_every_ = 0;
   std::uint64_t latency_us_ = 0;
-  std::uint64_t fault_one_in_ = 0;  // Steps between two faults, on average.
+  std::uint64_t fault_one_in_ = 0;  // Average number of steps between two faults.
   bool is_healed_ = false;
   std::uint64_t sequence_ = 0;
 
-  std::vector<Applied> applied_{{0, 0, 0}};  // By index.
+  std::vector<Applied> applied_{{0, 0, 0}};  // Committed entries by index.
   std::map<Term, ReplicaId> leaders_;
   std::map<std::pair<ReplicaId, Term>, ReplicaId> votes_;
   std::map<std::uint64_t, Index> reads_;
--- a/tests/consensus/soak_test.cc
+++ b/tests/consensus/soak_test.cc
@@ -13,10 +13,10 @@
   return value == nullptr ? fallback : std::strtoull(value, nullptr, 10);
 }
 
-// Guards against any order of loss, duplication, delay, partitions, restarts, lost disks,
-// membership changes and snapshots that breaks agreement, durability or recovery.
-// BORAGELOFT_SOAK_SEED, _SEEDS and _STEPS choose the first seed, their number and the steps of
-// each.
+// Guards against violations of agreement, durability or recovery under any order of message loss,
+// duplication, delay, partitions, restarts, lost disks, membership changes and snapshots.
+// BORAGELOFT_SOAK_SEED, _SEEDS and _STEPS set the first seed, the number of seeds and the steps per
+// seed.
 TEST(ConsensusSoakTest, KeepsInvariantsUnderFaults) {
   base::ReplaceVerifyHandler([](const char* expression, const char* file, int line) {
     throw InvariantFailure(fmt::format("VERIFY({}) at {}:{}", expression, file, line));
@@ -52,7 +52,7 @@
       "{} snapshots installed, {} transfers\n",
       seeds * steps, total.commits, total.leaders, total.reads, total.restarts, total.lost_disks,
       total.promotions, total.snapshots_installed, total.transfers);
-  // A run that never met a fault proves nothing about it.
+  // A run without a kind of fault does not test it.
   EXPECT_GT(total.lost_disks, 0U);
   EXPECT_GT(total.promotions, 0U);
   EXPECT_GT(total.snapshots_installed, 0U);
