--- a/libraries/replication/error.h
+++ b/libraries/replication/error.h
@@ -5,7 +5,7 @@
 
 namespace borageloft::replication {
 
-/** Error of the replication library: a start that is not safe, or a message that is refused. */
+/** Error of the replication library: an unsafe start, unusable storage or a malformed message. */
 class ReplicationError : public base::Error {
  public:
   using base::Error::Error;
--- a/libraries/replication/group_storage.cc
+++ b/libraries/replication/group_storage.cc
@@ -18,7 +18,7 @@
 
 namespace {
 
-// A snapshot's content begins with the replica's id in 16 hexadecimal digits.
+// The stored content of a snapshot starts with the replica id as 16 hexadecimal digits.
 constexpr std::size_t kIdDigits = 16;
 
 ReplicaId ParseId(std::string_view digits, int base) {
@@ -26,14 +26,14 @@
   const char* end = digits.data() + digits.size();
   const auto [stop, error] = std::from_chars(digits.data(), end, id, base);
   if (error != std::errc() || stop != end) {
-    throw ReplicationError("the data folder holds a replica id that is not a number");
+    throw ReplicationError("data folder has an invalid replica id");
   }
   return id;
 }
 
-/** Runs a storage operation and translates its errors. */
+/** Runs a storage operation and rethrows its errors as ReplicationError. */
 template <typename Operation>
-auto Translate(const char* what, Operation operation) {
+auto TranslateErrors(const char* what, Operation operation) {
   try {
     return operation();
   } catch (const ReplicationError&) {
@@ -51,23 +51,23 @@
 
 ReplicaStorage GroupStorage::Hooks() {
   ReplicaStorage hooks;
-  hooks.load = [this] { return Translate("load the replica", [&] { return Load(); }); };
+  hooks.load = [this] { return TranslateErrors("load the replica", [&] { return Load(); }); };
   hooks.save_hard_state = [this](const HardState& state) {
-    Translate("save term and vote", [&] { SaveHardState(state); });
+    TranslateErrors("save term and vote", [&] { SaveHardState(state); });
   };
   hooks.append = [this](const std::vector<Entry>& entries) {
-    Translate("append entries", [&] { Append(entries); });
+    TranslateErrors("append entries", [&] { Append(entries); });
   };
   hooks.truncate = [this](consensus::Index first) {
-    Translate("truncate the log", [&] { store_->log().TruncateSuffix(first); });
+    TranslateErrors("truncate the log", [&] { store_->log().TruncateSuffix(first); });
   };
   hooks.save_snapshot = [this](const Snapshot& snapshot) {
-    Translate("save a snapshot", [&] {
+    TranslateErrors("save a snapshot", [&] {
       store_->SaveSnapshot({snapshot.index, snapshot.term}, EncodeContent(snapshot));
     });
   };
   hooks.install_snapshot = [this](const Snapshot& snapshot) {
-    Translate("install a snapshot", [&] {
+    TranslateErrors("install a snapshot", [&] {
       store_->InstallSnapshot({snapshot.index, snapshot.term}, EncodeContent(snapshot));
     });
   };
@@ -81,12 +81,12 @@
   const storage::Metadata& metadata = store_->metadata().metadata();
   if (!stored) {
     if (metadata.term > 0 || store_->log().last_index() > 0) {
-      throw ReplicationError("the data folder holds a log or a vote, but no valid snapshot");
+      throw ReplicationError("data folder has a log or a term, but no valid snapshot");
     }
     return std::nullopt;
   }
   if (stored->content.size() < kIdDigits) {
-    throw ReplicationError("the stored snapshot names no replica");
+    throw ReplicationError("stored snapshot has no replica id");
   }
   const std::string_view content = stored->content;
   replica_ = ParseId(content.substr(0, kIdDigits), 16);
@@ -109,7 +109,8 @@
     for (const std::string& record : read.records) {
       entries.push_back(consensus::DecodeEntry(record));
       if (entries.back().index != next) {
-        throw ReplicationError(fmt::format("record {} of the log holds another entry", next));
+        throw ReplicationError(
+            fmt::format("log record {} has an entry with a different index", next));
       }
       ++next;
     }
--- a/libraries/replication/group_storage.h
+++ b/libraries/replication/group_storage.h
@@ -11,9 +11,9 @@
 namespace borageloft::replication {
 
 /**
- * Keeps a replica in a storage::GroupStore. The entries are the records of its log, the term and
- * the vote are its metadata, and each snapshot also names the replica that owns the folder. Not
- * thread-safe; ReplicaHost calls the hooks from one thread at a time.
+ * Stores the state of a replica in a storage::GroupStore. Each log entry is a record of its log,
+ * the term and the vote are its metadata, and each snapshot also contains the id of the replica
+ * that owns the folder. Not thread-safe; ReplicaHost calls the hooks from one thread at a time.
  */
 class GroupStorage {
  public:
@@ -26,8 +26,8 @@
                storage::LogOptions options = {});
 
   /**
-   * @return Hooks for ReplicaHost; this object must outlive them. Each call of `load` opens the
-   * store again, which ends its failed state. Errors are thrown as ReplicationError.
+   * @return Hooks for ReplicaHost; this object must outlive them. Each call of `load` reopens the
+   * store, which clears its failed state. Errors are thrown as ReplicationError.
    */
   ReplicaStorage Hooks();
 
--- a/libraries/replication/host_hooks.h
+++ b/libraries/replication/host_hooks.h
@@ -10,20 +10,21 @@
 
 /**
  * The replicated state machine. The hooks are called by one thread at a time, with no lock held. An
- * exception that leaves one of them ends the process, since the replicas would differ.
+ * exception thrown by a hook while the replica is running terminates the process, because the
+ * replicas would diverge.
  */
 struct StateMachine {
-  /** Applies one committed command. @return Its result, for the proposer. */
+  /** Applies one committed command. @return Result for the proposer. */
   std::function<std::string(consensus::Index index, const std::string& command)> apply;
-  /** @return Encoding of the whole state. */
+  /** @return Encoding of the complete state. */
   std::function<std::string()> snapshot;
-  /** Replaces the whole state. Empty data stands for the state before the first command. */
+  /** Replaces the complete state. Empty data means the state before the first command. */
   std::function<void(const std::string& data)> restore;
 };
 
 /**
- * Sends bytes to another replica. It must not block for long; a message that cannot be sent is
- * dropped, since the protocol repeats what matters. Called with no lock held.
+ * Sends bytes to another replica. It must not block for long. A message that cannot be sent is
+ * dropped, because the protocol retransmits as needed. Called with no lock held.
  */
 using SendHook = std::function<void(consensus::ReplicaId to, std::string bytes)>;
 
--- a/libraries/replication/host_status.h
+++ b/libraries/replication/host_status.h
@@ -7,11 +7,11 @@
 
 namespace borageloft::replication {
 
-/** What a host does. */
+/** State of a ReplicaHost. */
 enum class HostState {
-  kCreated,  // Start() was not called yet.
+  kCreated,  // Start() has not completed yet.
   kRunning,
-  kFailed,  // The storage failed; the host takes part in nothing until it can be opened again.
+  kFailed,  // The storage failed; the replica is not running until the storage can be reopened.
   kStopped,
 };
 
@@ -22,7 +22,7 @@
   consensus::SoftState soft_state;
   consensus::Index commit = 0;
   consensus::Index applied = 0;
-  consensus::Term applied_term = 0;  // Term of the last applied entry, or 0.
+  consensus::Term applied_term = 0;  // Term of the last applied entry, or 0 if unknown.
   consensus::Index snapshot_index = 0;
   consensus::Membership membership;
   std::uint64_t appends = 0;  // Calls of ReplicaStorage::append.
--- a/libraries/replication/membership_repair.cc
+++ b/libraries/replication/membership_repair.cc
@@ -13,7 +13,7 @@
   return view.target_voters != 0 && view.membership.voter_count() >= view.target_voters;
 }
 
-// The newest replica at an address is the live one; ids rise.
+// Ids increase, so the replica with the highest id at an address is the current one.
 bool IsReplaced(const RepairView& view, ReplicaId replica, const Member& member) {
   const std::string address = view.address_of(member.host);
   for (const auto& [other, candidate] : view.membership.members()) {
@@ -24,7 +24,7 @@
   return false;
 }
 
-// An earlier voter at the learner's address, which must go before the learner is promoted.
+// Finds a voter at the learner's address, which must be removed before the learner is promoted.
 std::optional<ReplicaId> FindPredecessor(const RepairView& view, const Member& learner) {
   const std::string address = view.address_of(learner.host);
   for (const auto& [replica, member] : view.membership.members()) {
@@ -35,10 +35,10 @@
   return std::nullopt;
 }
 
-std::optional<ReplicaId> FindSilentVoter(const RepairView& view) {
+std::optional<ReplicaId> FindUnreachableVoter(const RepairView& view) {
   for (const auto& [replica, member] : view.membership.members()) {
     if (member.is_voter && replica != view.leader && !view.is_reachable(replica) &&
-        view.silent_for(replica) >= view.replace_after) {
+        view.time_since_contact(replica) >= view.replace_after) {
       return replica;
     }
   }
@@ -59,8 +59,8 @@
       continue;
     }
     if (const auto predecessor = FindPredecessor(view, member)) {
-      // Right after a restart the earlier replica still counts as reachable. Promoting the learner
-      // then would leave a voter in the group that never answers again.
+      // Right after a restart, the earlier replica still counts as reachable. Promoting the learner
+      // at that point would leave a voter in the group that never responds again.
       if (!view.is_reachable(*predecessor)) {
         return MembershipChange{MembershipChangeKind::kRemove, *predecessor, ""};
       }
@@ -70,8 +70,8 @@
       return MembershipChange{MembershipChangeKind::kPromoteLearner, learner, ""};
     }
     if (view.is_reachable(learner)) {
-      if (const auto silent = FindSilentVoter(view)) {
-        return MembershipChange{MembershipChangeKind::kRemove, *silent, ""};
+      if (const auto unreachable = FindUnreachableVoter(view)) {
+        return MembershipChange{MembershipChangeKind::kRemove, *unreachable, ""};
       }
     }
   }
--- a/libraries/replication/membership_repair.h
+++ b/libraries/replication/membership_repair.h
@@ -9,27 +9,26 @@
 
 namespace borageloft::replication {
 
-/** What the leader knows when it decides on a membership change. */
+/** Input of PlanRepair(): the membership and what the leader knows of its members. */
 struct RepairView {
   consensus::Membership membership;
   consensus::ReplicaId leader = consensus::kNoReplica;
-  /** Voters that the group shall have; 0 for every learner. */
+  /** Desired number of voters; 0 promotes every learner. */
   std::size_t target_voters = 0;
-  /** Time without a word after which a voter gives way to a learner that has caught up, and after
-   * which a learner is dropped. */
+  /** Time without contact after which a voter is replaced by a learner that has caught up. */
   base::Duration replace_after = std::chrono::seconds(2);
-  /** Address of a member's host; replicas at the same address follow one another. */
+  /** Address of a member's host; a replica replaces earlier ones at the same address. */
   std::function<std::string(const std::string& host)> address_of;
   std::function<bool(consensus::ReplicaId)> is_reachable;
   std::function<bool(consensus::ReplicaId)> has_caught_up;
-  /** Time since the leader last heard a member. */
-  std::function<base::Duration(consensus::ReplicaId)> silent_for;
+  /** Time since the leader last had contact to a member. */
+  std::function<base::Duration(consensus::ReplicaId)> time_since_contact;
 };
 
 /**
- * Decides the next membership change. One member changes at a time, and a voter is removed only
- * when a learner that has caught up takes its place, so that a commit stays on as many disks as
- * before.
+ * Plans the next membership change. Each change affects one member, and a voter is removed only if
+ * a learner that has caught up can take its place, so that committed entries stay on as many disks
+ * as before.
  * @return The change to propose, or nothing.
  */
 std::optional<consensus::MembershipChange> PlanRepair(const RepairView& view);
--- a/libraries/replication/outcomes.h
+++ b/libraries/replication/outcomes.h
@@ -8,15 +8,16 @@
 
 namespace borageloft::replication {
 
-/** What became of a proposal. */
+/** Kind of the outcome of a proposal. */
 enum class ProposalOutcomeKind {
-  kCommitted,  // Durable on a quorum and applied here.
-  kNotLeader,  // Has no effect, now or later; the leader hint may name the leader.
-  kDropped,    // Has no effect, now or later: too much load, a transfer, or another leader's log.
-  kRefused,    // Has no effect, now or later: `status` names the reason.
-  kStorageFailed,  // Has no effect, now or later: the storage of this host failed before it was
-                   // sent.
-  kUnknown,        // May or may not take effect; only a read can tell.
+  kCommitted,      // Durable on a quorum and applied here.
+  kNotLeader,      // Has no effect, now or later; the leader hint may name the leader.
+  kDropped,        // Has no effect, now or later: overload, a transfer or shutdown, or another
+                   // entry was committed at its index.
+  kRefused,        // Has no effect, now or later; `status` is the reason.
+  kStorageFailed,  // Has no effect, now or later: the storage of this host failed before the entry
+                   // was stored or sent.
+  kUnknown,        // May or may not take effect; only a read can tell which.
 };
 
 /** Outcome of a proposal. */
@@ -24,23 +25,23 @@
   ProposalOutcomeKind kind = ProposalOutcomeKind::kUnknown;
   /** Result of the state machine, for kCommitted commands. */
   std::string result;
-  /** Leader as far as known, or kNoReplica. */
+  /** Known leader, or kNoReplica. */
   consensus::ReplicaId leader_hint = consensus::kNoReplica;
   /** Index of the committed entry. */
   consensus::Index index = 0;
   /** Id of the added learner, for a committed change of kind kAddLearner. */
   consensus::ReplicaId assigned = consensus::kNoReplica;
-  /** Why the replica refused, for kRefused. */
+  /** Reason of the refusal, for kRefused. */
   consensus::ProposalStatus status = consensus::ProposalStatus::kAppended;
 };
 
 /** Receives the outcome of a proposal exactly once, with no lock held. It must not throw. */
 using ProposalCallback = std::function<void(const ProposalOutcome& outcome)>;
 
-/** What became of a linearisable read. */
+/** Kind of the outcome of a linearisable read. */
 enum class ReadOutcomeKind {
-  kReady,      // The state machine now shows every write that ended before the read began.
-  kNotLeader,  // Not leader, or leadership was lost; the state machine may be old.
+  kReady,      // The state machine reflects every write that completed before the read began.
+  kNotLeader,  // Not leader, or leadership was lost; the state machine may be stale.
   kOverloaded,
   kStorageFailed,
 };
--- a/libraries/replication/persist_loop.cc
+++ b/libraries/replication/persist_loop.cc
@@ -12,14 +12,14 @@
 using consensus::Index;
 using consensus::Ready;
 
-void ReplicaHost::Drive() noexcept {
+void ReplicaHost::RunPersistLoop() noexcept {
   {
     const std::scoped_lock lock(mutex_);
-    if (is_driving_) {
-      // The driving thread looks for work again before it ends.
+    if (is_loop_running_) {
+      // The thread that runs the loop checks for work again before it ends.
       return;
     }
-    is_driving_ = true;
+    is_loop_running_ = true;
   }
   while (true) {
     std::optional<Ready> ready;
@@ -32,12 +32,12 @@
       reopens =
           state_ == HostState::kFailed && !is_stopping_ && dependencies_.clock() >= reopen_at_;
       if (!ready && !reopens) {
-        is_driving_ = false;
+        is_loop_running_ = false;
         break;
       }
     }
     if (ready) {
-      Process(*ready);
+      ProcessReady(*ready);
     } else {
       Reopen();
     }
@@ -45,11 +45,11 @@
   FinishShutdown();
 }
 
-void ReplicaHost::Process(const Ready& ready) {
+void ReplicaHost::ProcessReady(const Ready& ready) {
   try {
     Persist(ready);
   } catch (const std::exception& error) {
-    Fail(error.what(), ready.entries.empty() ? stored_last_ : ready.entries.back().index);
+    Fail(error.what(), ready.entries.empty() ? last_stored_index_ : ready.entries.back().index);
     return;
   }
   for (const consensus::Message& message : ready.messages) {
@@ -88,26 +88,26 @@
     storage.save_hard_state(*ready.hard_state);
   }
   if (ready.snapshot) {
-    // A crash in the middle is repaired by LoadConsistent().
+    // A crash between the two steps of the installation is repaired by LoadConsistent().
     storage.install_snapshot(*ready.snapshot);
-    stored_last_ = ready.snapshot->index;
+    last_stored_index_ = ready.snapshot->index;
   }
   if (ready.entries.empty()) {
     return;
   }
   const Index first = ready.entries.front().index;
-  if (first <= stored_last_) {
+  if (first <= last_stored_index_) {
     storage.truncate(first);
   }
   storage.append(ready.entries);
-  stored_last_ = ready.entries.back().index;
+  last_stored_index_ = ready.entries.back().index;
   const std::scoped_lock lock(mutex_);
   ++counters_.appends;
   counters_.appended_entries += ready.entries.size();
 }
 
 std::vector<ReplicaHost::AppliedEntry> ReplicaHost::Apply(const Ready& ready) {
-  // After the storage was opened again, the replica repeats what the state machine already has.
+  // After the storage was reopened, the replica returns entries again that are already applied.
   Index applied = applied_;
   if (ready.snapshot && ready.snapshot->index > applied) {
     dependencies_.state_machine.restore(ready.snapshot->data);
@@ -133,7 +133,7 @@
                            Completions& completions) {
   if (ready.snapshot && ready.snapshot->index > applied_) {
     applied_ = ready.snapshot->index;
-    // The snapshot does not tell which of these proposals it contains.
+    // The snapshot does not show which of these proposals it includes.
     for (PendingProposal& proposal : proposals_.TakeUpTo(applied_)) {
       CompleteAs(ProposalOutcomeKind::kUnknown, std::move(proposal.callback), completions);
     }
@@ -149,7 +149,7 @@
         outcome.result = entry.result;
         outcome.assigned = proposal.assigned;
       } else {
-        // Another entry was committed at its index, so it can never be.
+        // Another entry was committed at its index, so the proposal can never be committed.
         outcome.kind = ProposalOutcomeKind::kDropped;
       }
       completions.push_back([callback = std::move(proposal.callback),
@@ -192,7 +192,7 @@
   consensus::SnapshotPointer snapshot;
   {
     const std::scoped_lock lock(mutex_);
-    // A snapshot of the leader may have arrived meanwhile and made this one superfluous.
+    // A snapshot of the leader may have been installed meanwhile, which makes this one obsolete.
     if (applied_ <= replica_->snapshot_index()) {
       return;
     }
@@ -201,14 +201,14 @@
   try {
     dependencies_.storage.save_snapshot(*snapshot);
   } catch (const std::exception& error) {
-    Fail(error.what(), stored_last_);
+    Fail(error.what(), last_stored_index_);
     return;
   }
   const std::scoped_lock lock(mutex_);
   replica_->Compact(std::move(snapshot));
 }
 
-void ReplicaHost::Fail(const std::string& reason, Index maybe_stored) {
+void ReplicaHost::Fail(const std::string& reason, Index last_possibly_stored) {
   base::Log(base::LogLevel::kError, "consensus_storage_failed", {{"error", reason}});
   Completions completions;
   std::optional<consensus::SoftState> soft_state;
@@ -216,12 +216,12 @@
     const std::scoped_lock lock(mutex_);
     soft_state =
         consensus::SoftState{consensus::Role::kFollower, consensus::kNoReplica, replica_->term()};
-    // The replica's memory is ahead of its disk, so it must neither send nor vote any more.
+    // The replica's in-memory state is ahead of its disk, so it must neither send nor vote.
     replica_.reset();
     state_ = HostState::kFailed;
     reopen_at_ = dependencies_.clock() + options_.reopen_interval;
     ++counters_.storage_failures;
-    AbandonAll(maybe_stored, ReadOutcomeKind::kStorageFailed, completions);
+    AbandonAll(last_possibly_stored, ReadOutcomeKind::kStorageFailed, completions);
   }
   for (const auto& complete : completions) {
     complete();
@@ -231,13 +231,14 @@
   }
 }
 
-void ReplicaHost::AbandonAll(Index maybe_stored, ReadOutcomeKind read_outcome,
+void ReplicaHost::AbandonAll(Index last_possibly_stored, ReadOutcomeKind read_outcome,
                              Completions& completions) {
-  // Entries above were never given to the storage nor sent, so they cannot take effect.
-  for (PendingProposal& proposal : proposals_.TakeAbove(maybe_stored)) {
+  // Entries above this index were neither passed to the storage nor sent, so they cannot take
+  // effect.
+  for (PendingProposal& proposal : proposals_.TakeAbove(last_possibly_stored)) {
     CompleteAs(ProposalOutcomeKind::kStorageFailed, std::move(proposal.callback), completions);
   }
-  for (PendingProposal& proposal : proposals_.TakeUpTo(maybe_stored)) {
+  for (PendingProposal& proposal : proposals_.TakeUpTo(last_possibly_stored)) {
     CompleteAs(ProposalOutcomeKind::kUnknown, std::move(proposal.callback), completions);
   }
   const ReadOutcome outcome{read_outcome, consensus::kNoReplica};
@@ -252,7 +253,7 @@
 }
 
 void ReplicaHost::Reopen() {
-  std::string reason = "the data folder is empty";
+  std::string reason = "data folder is empty";
   try {
     if (auto state = LoadConsistent(dependencies_.storage)) {
       if (state->snapshot->index > applied_) {
@@ -274,9 +275,9 @@
 }
 
 void ReplicaHost::Open(consensus::PersistedState state) {
-  stored_last_ = state.snapshot->index;
+  last_stored_index_ = state.snapshot->index;
   if (!state.entries.empty()) {
-    stored_last_ = std::max(stored_last_, state.entries.back().index);
+    last_stored_index_ = std::max(last_stored_index_, state.entries.back().index);
   }
   const std::scoped_lock lock(mutex_);
   replica_.emplace(options_.replica, dependencies_.random, std::move(state), dependencies_.clock());
@@ -288,15 +289,15 @@
   {
     const std::scoped_lock lock(mutex_);
     const bool is_leader = replica_ && replica_->is_leader();
-    if (!is_stopping_ || is_driving_ || state_ == HostState::kStopped ||
+    if (!is_stopping_ || is_loop_running_ || state_ == HostState::kStopped ||
         (is_leader && dependencies_.clock() < stop_deadline_)) {
       return;
     }
     replica_.reset();
     state_ = HostState::kStopped;
     AbandonAll(std::numeric_limits<Index>::max(), ReadOutcomeKind::kNotLeader, completions);
-    if (stopped_) {
-      completions.push_back(std::exchange(stopped_, nullptr));
+    if (on_stopped_) {
+      completions.push_back(std::exchange(on_stopped_, nullptr));
     }
   }
   for (const auto& complete : completions) {
--- a/libraries/replication/proposal_table.h
+++ b/libraries/replication/proposal_table.h
@@ -12,7 +12,7 @@
 
 namespace borageloft::replication {
 
-/** A proposal in the log whose outcome is not known yet. */
+/** A proposal that was appended to the log and whose outcome is not known yet. */
 struct PendingProposal {
   consensus::Index index = 0;
   consensus::Term term = 0;
@@ -21,23 +21,23 @@
   ProposalCallback callback;
 };
 
-/** Proposals that wait for their outcome, by index and term. Not thread-safe. */
+/** Pending proposals by index and term. Not thread-safe. */
 class ProposalTable {
  public:
-  /** Adds a proposal. */
+  /** Adds a proposal, whose index and term must not be in the table. */
   void Add(PendingProposal&& proposal);
 
-  /** @return Proposals up to index @p last, which are removed. */
+  /** Removes the proposals up to index @p last. @return The removed proposals. */
   std::vector<PendingProposal> TakeUpTo(consensus::Index last);
-  /** @return Proposals above index @p last, which are removed. */
+  /** Removes the proposals above index @p last. @return The removed proposals. */
   std::vector<PendingProposal> TakeAbove(consensus::Index last);
-  /** @return Proposals whose deadline has passed, which are removed. */
+  /** Removes the proposals whose deadline has passed. @return The removed proposals. */
   std::vector<PendingProposal> TakeExpired(base::TimePoint now);
 
   std::size_t size() const { return proposals_.size(); }
 
  private:
-  // A host that loses and regains leadership can have proposals of several terms at one index.
+  // A host that loses and regains leadership can have proposals of several terms at the same index.
   std::map<std::pair<consensus::Index, consensus::Term>, PendingProposal> proposals_;
 };
 
--- a/libraries/replication/replica_host.cc
+++ b/libraries/replication/replica_host.cc
@@ -42,20 +42,20 @@
     std::optional<PersistedState> state = LoadConsistent(storage);
     if (plan.mode == StartMode::kRestart && !state) {
       throw ReplicationError(
-          "the data folder is empty: a control host that lost its disk must be added as a learner "
+          "data folder is empty: a control host that lost its disk must be added as a learner "
           "and start with the replica id that the group assigns");
     }
     if (plan.mode == StartMode::kBootstrap && state) {
-      throw ReplicationError("the data folder is in use: a group is bootstrapped only once");
+      throw ReplicationError("data folder is in use: a group is bootstrapped only once");
     }
     if (plan.mode == StartMode::kJoin && state && state->hard_state.replica != plan.replica) {
-      throw ReplicationError("the data folder belongs to another replica id");
+      throw ReplicationError("data folder belongs to another replica id");
     }
     if (!state) {
       state = plan.mode == StartMode::kBootstrap
                   ? PersistedState::ForBootstrap(plan.replica, plan.membership)
                   : PersistedState::ForJoin(plan.replica);
-      // The snapshot marks the folder as in use, so it comes last.
+      // The snapshot marks the folder as in use, so it is saved last.
       storage.save_hard_state(state->hard_state);
       storage.save_snapshot(*state->snapshot);
     }
@@ -80,15 +80,15 @@
   {
     const std::scoped_lock lock(mutex_);
     if (replica_ && !is_stopping_) {
-      Track(replica_->Propose(std::move(command)), std::move(callback), completions);
+      TrackProposal(replica_->Propose(std::move(command)), std::move(callback), completions);
     } else {
-      Unavailable(std::move(callback), completions);
+      CompleteUnavailable(std::move(callback), completions);
     }
   }
   for (const auto& complete : completions) {
     complete();
   }
-  Drive();
+  RunPersistLoop();
 }
 
 void ReplicaHost::ProposeMembership(const MembershipChange& change, ProposalCallback callback) {
@@ -96,24 +96,24 @@
   {
     const std::scoped_lock lock(mutex_);
     if (replica_ && !is_stopping_) {
-      Track(replica_->ProposeMembership(change), std::move(callback), completions);
+      TrackProposal(replica_->ProposeMembership(change), std::move(callback), completions);
     } else {
-      Unavailable(std::move(callback), completions);
+      CompleteUnavailable(std::move(callback), completions);
     }
   }
   for (const auto& complete : completions) {
     complete();
   }
-  Drive();
+  RunPersistLoop();
 }
 
 void ReplicaHost::Read(ReadCallback callback) {
   ReadOutcome refusal;
   {
     const std::scoped_lock lock(mutex_);
-    if (replica_ && replica_->RequestRead(next_read_)) {
-      reads_.emplace(next_read_, std::exchange(callback, nullptr));
-      ++next_read_;
+    if (replica_ && replica_->RequestRead(next_read_context_)) {
+      reads_.emplace(next_read_context_, std::exchange(callback, nullptr));
+      ++next_read_context_;
     } else if (replica_) {
       refusal.kind =
           replica_->is_leader() ? ReadOutcomeKind::kOverloaded : ReadOutcomeKind::kNotLeader;
@@ -125,7 +125,7 @@
   if (callback) {
     callback(refusal);
   }
-  Drive();
+  RunPersistLoop();
 }
 
 void ReplicaHost::Receive(std::string_view bytes) {
@@ -143,20 +143,20 @@
     replica_->Tick(dependencies_.clock());
     replica_->Step(std::move(message));
   }
-  Drive();
+  RunPersistLoop();
 }
 
 void ReplicaHost::Shutdown(std::function<void()> done) {
   {
     const std::scoped_lock lock(mutex_);
     is_stopping_ = true;
-    stopped_ = std::move(done);
+    on_stopped_ = std::move(done);
     stop_deadline_ = dependencies_.clock() + options_.replica.election_timeout;
     if (replica_) {
       replica_->TransferLeadership();
     }
   }
-  Drive();
+  RunPersistLoop();
 }
 
 HostStatus ReplicaHost::status() const {
@@ -193,20 +193,20 @@
   for (const auto& complete : completions) {
     complete();
   }
-  Drive();
+  RunPersistLoop();
 }
 
 void ReplicaHost::RepairMembership(base::TimePoint now) {
   if (!replica_->is_leader()) {
-    heard_at_.clear();
+    last_contact_.clear();
     return;
   }
   RepairView view;
   view.membership = replica_->membership();
   for (const auto& [replica, member] : view.membership.members()) {
-    // A new leader has heard nobody yet, so silence counts from its election on.
-    if (replica_->IsReachable(replica) || !heard_at_.contains(replica)) {
-      heard_at_[replica] = now;
+    // A new leader has no contact yet, so the time without contact counts from its election.
+    if (replica_->IsReachable(replica) || !last_contact_.contains(replica)) {
+      last_contact_[replica] = now;
     }
   }
   if (replica_->HasPendingMembership()) {
@@ -222,16 +222,16 @@
   view.has_caught_up = [this](consensus::ReplicaId replica) {
     return replica_->HasCaughtUp(replica);
   };
-  view.silent_for = [this, now](consensus::ReplicaId replica) {
-    return now - heard_at_.at(replica);
+  view.time_since_contact = [this, now](consensus::ReplicaId replica) {
+    return now - last_contact_.at(replica);
   };
   if (const auto change = PlanRepair(view)) {
     replica_->ProposeMembership(*change);
   }
 }
 
-void ReplicaHost::Track(const consensus::ProposalResult& result, ProposalCallback callback,
-                        Completions& completions) {
+void ReplicaHost::TrackProposal(const consensus::ProposalResult& result, ProposalCallback callback,
+                                Completions& completions) {
   if (result.status == ProposalStatus::kAppended) {
     proposals_.Add({result.index, result.term, result.assigned,
                     dependencies_.clock() + options_.proposal_timeout, std::move(callback)});
@@ -254,7 +254,7 @@
   completions.push_back([callback = std::move(callback), outcome] { callback(outcome); });
 }
 
-void ReplicaHost::Unavailable(ProposalCallback callback, Completions& completions) const {
+void ReplicaHost::CompleteUnavailable(ProposalCallback callback, Completions& completions) const {
   ProposalOutcome outcome;
   outcome.kind = state_ == HostState::kFailed ? ProposalOutcomeKind::kStorageFailed
                  : is_stopping_               ? ProposalOutcomeKind::kDropped
--- a/libraries/replication/replica_host.h
+++ b/libraries/replication/replica_host.h
@@ -23,17 +23,17 @@
 namespace borageloft::replication {
 
 /**
- * Runs one consensus replica: persists before it sends, applies committed commands to the state
- * machine, and completes proposals and reads. Proposals that arrive while a sync runs share the
- * next one.
+ * Runs one consensus replica: persists its state before it sends messages, applies committed
+ * commands to the state machine, and completes proposals and reads. Proposals that arrive while a
+ * sync is running share the next one (group commit).
  *
  * Thread-safe. The replica is guarded by a lock of rank kConsensus. The persist loop runs on the
- * thread that brought the work, on one thread at a time and with no lock held, so callers must hold
- * no lock either.
+ * calling or timer thread that caused the work, on one thread at a time and with no lock held, so
+ * callers must not hold a lock either.
  */
 class ReplicaHost {
  public:
-  /** Everything that varies between production and tests. */
+  /** Dependencies that differ between production and tests. */
   struct Dependencies {
     base::Clock clock;
     base::Random random;
@@ -46,15 +46,18 @@
 
   /** @param options Settings. @param dependencies Hooks; the timers must outlive this object. */
   ReplicaHost(ReplicaHostOptions options, Dependencies dependencies);
-  /** Stops without a transfer; open proposals complete as unknown. No call may be running. */
+  /**
+   * Stops without a leadership transfer; pending proposals complete as unknown. No other call may
+   * be running.
+   */
   ~ReplicaHost();
 
   ReplicaHost(const ReplicaHost&) = delete;
   ReplicaHost& operator=(const ReplicaHost&) = delete;
 
   /**
-   * Opens the storage and takes part in the group.
-   * @throws ReplicationError if the plan does not fit what is stored, or the storage fails.
+   * Opens the storage and starts the replica.
+   * @throws ReplicationError if the plan does not match the stored state, or if the storage fails.
    */
   void Start(const StartPlan& plan);
 
@@ -75,8 +78,8 @@
   void Receive(std::string_view bytes);
 
   /**
-   * Hands leadership over and stops; new proposals are dropped at once.
-   * @param done Called once stopped, at the latest an election timeout later.
+   * Transfers leadership and stops; new proposals are dropped immediately.
+   * @param done Called once the host has stopped, at the latest after one election timeout.
    */
   void Shutdown(std::function<void()> done);
 
@@ -94,26 +97,26 @@
 
   void Tick();
   void RepairMembership(base::TimePoint now);
-  void Track(const consensus::ProposalResult& result, ProposalCallback callback,
-             Completions& completions);
+  void TrackProposal(const consensus::ProposalResult& result, ProposalCallback callback,
+                     Completions& completions);
   static void CompleteAs(ProposalOutcomeKind kind, ProposalCallback callback,
                          Completions& completions);
-  void Unavailable(ProposalCallback callback, Completions& completions) const;
+  void CompleteUnavailable(ProposalCallback callback, Completions& completions) const;
 
-  // The persist loop, in persist_loop.cc. Only the thread that set is_driving_ runs it.
-  void Drive() noexcept;
-  void Process(const consensus::Ready& ready);
+  // The persist loop, defined in persist_loop.cc; run by the thread that set is_loop_running_.
+  void RunPersistLoop() noexcept;
+  void ProcessReady(const consensus::Ready& ready);
   void Persist(const consensus::Ready& ready);
   std::vector<AppliedEntry> Apply(const consensus::Ready& ready);
   void Complete(const consensus::Ready& ready, const std::vector<AppliedEntry>& applied,
                 Completions& completions);
   void CompleteReads(const consensus::Ready& ready, Completions& completions);
   void TakeSnapshot();
-  void Fail(const std::string& reason, consensus::Index maybe_stored);
+  void Fail(const std::string& reason, consensus::Index last_possibly_stored);
   void Reopen();
   void Open(consensus::PersistedState state);
   void FinishShutdown();
-  void AbandonAll(consensus::Index maybe_stored, ReadOutcomeKind read_outcome,
+  void AbandonAll(consensus::Index last_possibly_stored, ReadOutcomeKind read_outcome,
                   Completions& completions);
 
   const ReplicaHostOptions options_;
@@ -123,22 +126,23 @@
   // Guarded by mutex_.
   HostState state_ = HostState::kCreated;
   std::optional<consensus::Replica> replica_;
-  bool is_driving_ = false;
+  bool is_loop_running_ = false;
   bool is_stopping_ = false;
-  std::function<void()> stopped_;
+  std::function<void()> on_stopped_;
   base::TimePoint stop_deadline_;
   base::TimePoint reopen_at_;
   ProposalTable proposals_;
-  std::uint64_t next_read_ = 1;
+  std::uint64_t next_read_context_ = 1;
   std::map<std::uint64_t, ReadCallback> reads_;
   std::multimap<consensus::Index, ReadCallback> confirmed_reads_;
   consensus::Index applied_ = 0;
-  std::map<consensus::ReplicaId, base::TimePoint> heard_at_;  // Members, while this one leads.
+  // Time of the last contact by member, while this replica is leader.
+  std::map<consensus::ReplicaId, base::TimePoint> last_contact_;
   HostStatus counters_;
   std::optional<timer::SubscriptionId> subscription_;
 
-  // Used by the thread that drives only.
-  consensus::Index stored_last_ = 0;
+  // Used only by the thread that runs the persist loop.
+  consensus::Index last_stored_index_ = 0;
 };
 
 }  // namespace borageloft::replication
--- a/libraries/replication/replica_host_options.h
+++ b/libraries/replication/replica_host_options.h
@@ -14,21 +14,21 @@
 /** Settings of a ReplicaHost. */
 struct ReplicaHostOptions {
   consensus::ReplicaOptions replica;
-  /** Interval of ticks; a fraction of the heartbeat interval. */
+  /** Interval of ticks; should be a fraction of the heartbeat interval. */
   base::Duration tick_interval = std::chrono::milliseconds(20);
-  /** A proposal without an outcome after this time completes as unknown. */
+  /** Time after which a proposal without an outcome completes as unknown. */
   base::Duration proposal_timeout = std::chrono::seconds(5);
-  /** Interval of attempts to open the storage again after it failed. */
+  /** Interval between attempts to reopen the storage after a failure. */
   base::Duration reopen_interval = std::chrono::seconds(1);
-  /** Entries applied between two snapshots. */
+  /** Number of entries applied between two snapshots. */
   std::uint64_t snapshot_interval = 512;
-  /** Whether the leader replaces and promotes members when their learner has caught up. */
+  /** Whether the leader promotes learners that have caught up and replaces members with them. */
   bool promotes_learners = true;
-  /** Voters that the group shall have; further learners wait as spares. 0 for no bound. */
+  /** Desired number of voters; further learners remain spares. 0 means no limit. */
   std::size_t target_voters = 0;
-  /** Time without a word after which a voter gives way to a spare. */
+  /** Time without contact after which a voter is replaced by a spare. */
   base::Duration replace_after = std::chrono::seconds(2);
-  /** Address of a member's host, for hosts whose names also tell their disks apart. */
+  /** Address of a member's host, for host names that also identify the disk. */
   std::function<std::string(const std::string& host)> address_of = [](const std::string& host) {
     return host;
   };
--- a/libraries/replication/replication.h
+++ b/libraries/replication/replication.h
@@ -1,7 +1,7 @@
 #ifndef BORAGELOFT_REPLICATION_REPLICATION_H_
 #define BORAGELOFT_REPLICATION_REPLICATION_H_
 
-/** @file Public header of the replication library: the host of a consensus replica. */
+/** @file Public header of the replication library: runs a consensus replica. */
 
 #include "libraries/replication/error.h"
 #include "libraries/replication/group_storage.h"
--- a/libraries/replication/start_plan.h
+++ b/libraries/replication/start_plan.h
@@ -5,17 +5,17 @@
 
 namespace borageloft::replication {
 
-/** How a host starts. */
+/** How a ReplicaHost starts. */
 enum class StartMode {
-  kRestart,    // From what is stored. Empty storage is refused: the host lost its disk.
-  kBootstrap,  // As a founding voter. Storage in use is refused, so that this is done once.
+  kRestart,    // From the stored state. Empty storage is rejected, because the disk was lost.
+  kBootstrap,  // As a founding voter. Storage in use is rejected: a group is bootstrapped once.
   kJoin,       // As a learner whose id was assigned by a committed membership change.
 };
 
-/** Start of a host. */
+/** Parameters of ReplicaHost::Start(). */
 struct StartPlan {
   StartMode mode = StartMode::kRestart;
-  /** Own id, for kBootstrap and kJoin. */
+  /** Id of this replica, for kBootstrap and kJoin. */
   consensus::ReplicaId replica = consensus::kNoReplica;
   /** Founding voters, for kBootstrap. */
   consensus::Membership membership;
--- a/tests/replication/concurrent_test.cc
+++ b/tests/replication/concurrent_test.cc
@@ -17,7 +17,7 @@
 using consensus::ReplicaId;
 using std::chrono::milliseconds;
 
-/** Queue of messages to one host, delivered by a thread of its own. */
+/** Queue of messages to one host, delivered by a separate thread. */
 class Mailbox {
  public:
   void Put(std::string bytes) {
@@ -57,12 +57,13 @@
 struct Node {
   MemoryStorage storage;
   Mailbox mailbox;
-  std::vector<std::string> commands;  // Touched by the persist loop only.
+  std::vector<std::string> commands;  // Accessed only by the persist loop.
   std::unique_ptr<ReplicaHost> host;
   std::thread receiver;
 };
 
-// Guards against data races and lost or doubled proposals with many proposing and reading threads.
+// Guards against data races, and against lost or duplicate proposals with concurrent proposals and
+// reads.
 TEST(ReplicaHostConcurrentTest, ThreadsProposeAndReadAtOnce) {
   constexpr int kThreads = 4;
   constexpr int kProposals = 100;
@@ -106,7 +107,8 @@
   for (int thread = 0; thread < kThreads; ++thread) {
     callers.emplace_back([&, thread] {
       for (int i = 0; i < kProposals; ++i) {
-        // Not-leader answers are safe to repeat; the bound ends the test if no leader appears.
+        // A proposal that failed with kNotLeader is safe to retry; the limit ends the test if there
+        // is no leader.
         for (int attempt = 0; attempt < 20'000; ++attempt) {
           Node& node = nodes[static_cast<std::size_t>(attempt) % nodes.size()];
           std::promise<ProposalOutcomeKind> done;
--- a/tests/replication/group_storage_test.cc
+++ b/tests/replication/group_storage_test.cc
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-/** A group of one voter on files in a temporary folder, on a manual clock. */
+/** A group of one voter with files in a temporary folder and a manual clock. */
 class GroupStorageTest : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -63,7 +63,7 @@
     host_->Start(plan);
   }
 
-  void Pass(milliseconds time) {
+  void AdvanceTime(milliseconds time) {
     for (milliseconds passed(0); passed < time; passed += milliseconds(10)) {
       now_ += milliseconds(10);
       timers_.RunDue();
@@ -88,10 +88,10 @@
   std::string commands_;
 };
 
-// Guards against commands, votes or the replica's id lost over a restart from files.
+// Guards against losing commands, votes or the replica's id on a restart from files.
 TEST_F(GroupStorageTest, HostRestartsFromFiles) {
   StartHost({StartMode::kBootstrap, 1, founders_});
-  Pass(milliseconds(1500));
+  AdvanceTime(milliseconds(1500));
   for (int i = 0; i < 250; ++i) {
     ASSERT_EQ(Propose(), ProposalOutcomeKind::kCommitted);
   }
@@ -100,14 +100,14 @@
   EXPECT_EQ(host_->status().replica, 1U);
   EXPECT_EQ(host_->status().soft_state.term, before.soft_state.term);
   EXPECT_GE(host_->status().snapshot_index, 200U);
-  Pass(milliseconds(1500));
+  AdvanceTime(milliseconds(1500));
   EXPECT_EQ(Propose(), ProposalOutcomeKind::kCommitted);
   EXPECT_EQ(commands_, std::string(251, 'x'));
   Close();
   EXPECT_THROW(StartHost({StartMode::kBootstrap, 1, founders_}), ReplicationError);
 }
 
-// Guards against a host that stays down after its disk was full, or loses what it accepted.
+// Guards against a host that stays failed after its disk was full, or loses committed commands.
 TEST_F(GroupStorageTest, HostRecoversFromFullDisk) {
   bool is_full = false;
   file_system_.write = [&, write = file_system_.write](
@@ -118,21 +118,22 @@
     write(file, offset, data);
   };
   StartHost({StartMode::kBootstrap, 1, founders_});
-  Pass(milliseconds(1500));
+  AdvanceTime(milliseconds(1500));
   ASSERT_EQ(Propose(), ProposalOutcomeKind::kCommitted);
   is_full = true;
   EXPECT_EQ(Propose(), ProposalOutcomeKind::kUnknown);
   EXPECT_EQ(Propose(), ProposalOutcomeKind::kStorageFailed);
-  Pass(milliseconds(3000));
+  AdvanceTime(milliseconds(3000));
   EXPECT_EQ(host_->status().state, HostState::kFailed);
   is_full = false;
-  Pass(milliseconds(3000));
+  AdvanceTime(milliseconds(3000));
   EXPECT_EQ(Propose(), ProposalOutcomeKind::kCommitted);
   EXPECT_GE(commands_.size(), 2U);
   EXPECT_LE(commands_.size(), 3U) << "the unknown proposal may have been applied once";
 }
 
-// Guards against a log that a snapshot of the leader replaced, kept by a crash before its removal.
+// Guards against using log entries that a snapshot of the leader replaced but that a crash kept
+// from being removed.
 TEST_F(GroupStorageTest, ReplacedLogIsDropped) {
   using consensus::EntryKind;
   Open();
@@ -142,7 +143,7 @@
   storage_hooks_.append({{1, 1, EntryKind::kEmpty, ""},
                          {1, 2, EntryKind::kCommand, "old"},
                          {4, 3, EntryKind::kCommand, "old"}});
-  // The first half of an installation: the snapshot is there and the log is not reset.
+  // First step of an installation: the snapshot is saved, but the log is not reset yet.
   storage_hooks_.save_snapshot({2, 3, founders_, "state"});
   Close();
   Open();
--- a/tests/replication/replica_host_test.cc
+++ b/tests/replication/replica_host_test.cc
@@ -14,7 +14,7 @@
 using consensus::ReplicaId;
 using std::chrono::milliseconds;
 
-/** One host with its storage and a state machine that lists the commands. */
+/** One host with its storage and a state machine that records the commands. */
 struct Node {
   MemoryStorage storage;
   std::vector<std::string> commands;
@@ -78,7 +78,7 @@
     }
   }
 
-  void Pass(milliseconds time) {
+  void AdvanceTime(milliseconds time) {
     for (milliseconds passed(0); passed < time; passed += milliseconds(10)) {
       now_ += milliseconds(10);
       timers_.RunDue();
@@ -94,7 +94,7 @@
           return id;
         }
       }
-      Pass(milliseconds(10));
+      AdvanceTime(milliseconds(10));
     }
     throw std::runtime_error("no leader within 3 s");
   }
@@ -114,7 +114,7 @@
       leader.Propose(fmt::format("c{}", ++sequence_), Collect());
       Deliver();
     }
-    Pass(milliseconds(200));
+    AdvanceTime(milliseconds(200));
   }
 
   const consensus::Membership founders_ = consensus::Membership::OfVoters({"a", "b", "c"});
@@ -128,7 +128,7 @@
   int sequence_ = 0;
 };
 
-// Guards against a committed proposal without its result, and against replicas that differ.
+// Guards against a committed proposal without its result, and against diverging replicas.
 TEST_F(ReplicaHostTest, CommitsAndAppliesOnAllHosts) {
   Commit(3);
   ASSERT_EQ(outcomes_.size(), 3U);
@@ -143,7 +143,7 @@
   EXPECT_EQ(outcomes_.back().leader_hint, leader);
 }
 
-// Guards against one sync for each proposal while the disk is the bottleneck.
+// Guards against one sync per proposal while the disk is the bottleneck.
 TEST_F(ReplicaHostTest, ProposalsDuringSyncShareOneAppend) {
   Node& leader = nodes_.at(Leader());
   bool is_first = true;
@@ -162,13 +162,14 @@
   EXPECT_EQ(outcomes_.size(), 101U);
 }
 
-// Guards against a proposal that is called refused though its entry may be on disk, against one
-// called unknown though it never left this process, and against a second application after reopen.
+// Guards against a proposal reported as not stored although its entry may be on disk, against one
+// reported as unknown although its entry was never stored or sent, and against applying a command
+// twice after the storage is reopened.
 TEST_F(ReplicaHostTest, StorageFailureGivesTypedOutcomesAndRecovers) {
   Commit(2);
   const ReplicaId failed = Leader();
   Node& node = nodes_.at(failed);
-  node.storage.failing = "append";
+  node.storage.failing_operation = "append";
   node.storage.on_append = [&] {
     if (outcomes_.size() == 2) {
       node.storage.on_append = {};
@@ -182,23 +183,24 @@
   node.host->Propose("later", Collect());
   EXPECT_EQ(outcomes_[4].kind, ProposalOutcomeKind::kStorageFailed);
   EXPECT_EQ(node.host->status().state, HostState::kFailed);
-  Pass(milliseconds(2500));
+  AdvanceTime(milliseconds(2500));
   EXPECT_NE(Leader(), failed);
   EXPECT_GT(node.host->status().storage_failures, 0U);
-  node.storage.failing.clear();
-  Pass(milliseconds(1500));
+  node.storage.failing_operation.clear();
+  AdvanceTime(milliseconds(1500));
   EXPECT_EQ(node.host->status().state, HostState::kRunning);
   Commit(1);
   EXPECT_EQ(node.commands, (std::vector<std::string>{"c1", "c2", "c3"}));
 }
 
-// Guards against messages that leave before the state they depend on is durable, at any operation.
+// Guards against sending messages before the state that they depend on is durable, whichever
+// operation fails.
 TEST_F(ReplicaHostTest, NothingIsSentWhenPersistenceFails) {
   for (const std::string operation : {"hard_state", "append"}) {
     const ReplicaId follower = Follower();
     const consensus::Term term = HostOf(follower).status().soft_state.term;
     Node& node = nodes_.at(follower);
-    node.storage.failing = operation;
+    node.storage.failing_operation = operation;
     Deliver();
     consensus::Message message{Leader(), follower, term + 1, {}};
     if (operation == "hard_state") {
@@ -212,22 +214,22 @@
     node.host->Receive(consensus::EncodeMessage(message));
     EXPECT_TRUE(network_.empty()) << operation;
     EXPECT_EQ(node.host->status().state, HostState::kFailed) << operation;
-    node.storage.failing.clear();
-    Pass(milliseconds(3000));
+    node.storage.failing_operation.clear();
+    AdvanceTime(milliseconds(3000));
     Commit(1);
     EXPECT_EQ(node.host->status().state, HostState::kRunning) << operation;
   }
 }
 
-// Guards against a host that stays down or loses commands when any operation fails once.
+// Guards against a host that stays failed or loses commands after any storage operation failed.
 TEST_F(ReplicaHostTest, RecoversFromFailureOfEveryOperation) {
   std::map<std::string, std::uint64_t> failures;
   for (const std::string operation : {"hard_state", "append", "truncate", "snapshot"}) {
     for (auto& [id, node] : nodes_) {
-      node.storage.failing = operation;
+      node.storage.failing_operation = operation;
       Commit(120);
-      node.storage.failing.clear();
-      Pass(milliseconds(3000));
+      node.storage.failing_operation.clear();
+      AdvanceTime(milliseconds(3000));
       EXPECT_EQ(node.host->status().state, HostState::kRunning) << operation;
       failures[operation] += node.host->status().storage_failures;
     }
@@ -242,46 +244,46 @@
   }
 }
 
-// Guards against a host that cannot go on after it failed in the middle of installing a snapshot.
+// Guards against a host that cannot recover from a failure during the installation of a snapshot.
 TEST_F(ReplicaHostTest, RecoversFromFailedSnapshotInstallation) {
   for (const std::string operation : {"install_first", "install_second"}) {
     const ReplicaId follower = Follower();
     cut_off_.insert(follower);
     Commit(300);
-    nodes_.at(follower).storage.failing = operation;
+    nodes_.at(follower).storage.failing_operation = operation;
     cut_off_.clear();
-    Pass(milliseconds(500));
+    AdvanceTime(milliseconds(500));
     EXPECT_EQ(HostOf(follower).status().state, HostState::kFailed) << operation;
-    nodes_.at(follower).storage.failing.clear();
-    Pass(milliseconds(3000));
+    nodes_.at(follower).storage.failing_operation.clear();
+    AdvanceTime(milliseconds(3000));
     Commit(1);
     EXPECT_EQ(nodes_.at(follower).commands, nodes_.at(Leader()).commands) << operation;
   }
 }
 
-// Guards against a proposal of a deposed leader that is called refused while it may be committed.
+// Guards against reporting a proposal of a deposed leader as dropped while it may be committed.
 TEST_F(ReplicaHostTest, ProposalsOfDeposedLeaderAreDroppedOrUnknown) {
   Commit(1);
   const ReplicaId old_leader = Leader();
   cut_off_.insert(old_leader);
   HostOf(old_leader).Propose("replaced", Collect());
-  Pass(milliseconds(2000));
-  EXPECT_EQ(outcomes_.size(), 1U) << "the fate is not known yet";
+  AdvanceTime(milliseconds(2000));
+  EXPECT_EQ(outcomes_.size(), 1U) << "the outcome is not known yet";
   Commit(1);
   cut_off_.clear();
-  Pass(milliseconds(500));
+  AdvanceTime(milliseconds(500));
   ASSERT_EQ(outcomes_.size(), 3U);
   EXPECT_EQ(outcomes_[2].kind, ProposalOutcomeKind::kDropped);
 
   const ReplicaId isolated = Leader();
   cut_off_ = {1, 2, 3};
   HostOf(isolated).Propose("undecided", Collect());
-  Pass(milliseconds(6000));
+  AdvanceTime(milliseconds(6000));
   ASSERT_EQ(outcomes_.size(), 4U);
   EXPECT_EQ(outcomes_[3].kind, ProposalOutcomeKind::kUnknown);
 }
 
-// Guards against reads that show old state.
+// Guards against reads that return stale state.
 TEST_F(ReplicaHostTest, ReadsAreLinearisable) {
   Commit(1);
   std::vector<ReadOutcomeKind> kinds;
@@ -299,12 +301,12 @@
   EXPECT_EQ(kinds.back(), ReadOutcomeKind::kNotLeader);
   cut_off_.insert(leader);
   HostOf(leader).Read([&](const ReadOutcome& outcome) { kinds.push_back(outcome.kind); });
-  Pass(milliseconds(1000));
+  AdvanceTime(milliseconds(1000));
   ASSERT_EQ(kinds.size(), 3U);
   EXPECT_EQ(kinds[2], ReadOutcomeKind::kNotLeader);
 }
 
-// Guards against a restart that loses or repeats commands, and a log that grows without bound.
+// Guards against a restart that loses or repeats commands, and against unlimited log growth.
 TEST_F(ReplicaHostTest, RestartsFromSnapshotAndLog) {
   Commit(350);
   const ReplicaId follower = Follower();
@@ -315,7 +317,8 @@
   EXPECT_EQ(nodes_.at(follower).commands, nodes_.at(Leader()).commands);
 }
 
-// Guards against a second bootstrap, and against a lost disk that starts under its old id.
+// Guards against a second bootstrap, and against a host that lost its disk and restarts under its
+// old id.
 TEST_F(ReplicaHostTest, UnsafeStartsAreRefused) {
   const ReplicaId follower = Follower();
   EXPECT_THROW(Start(follower, {StartMode::kBootstrap, follower, founders_}), ReplicationError);
@@ -325,19 +328,20 @@
   nodes_.at(follower).host.reset();
 }
 
-// Guards against a lost disk that is never replaced, with a second failure right after the repair.
+// Guards against a lost disk that is never replaced, with a second failure right after the
+// replacement.
 TEST_F(ReplicaHostTest, LostDiskRejoinsAsLearnerAndIsPromoted) {
   Commit(250);
   const ReplicaId lost = Follower();
   const std::string name = founders_.members().at(lost).host;
   nodes_.erase(lost);
-  Pass(milliseconds(600));
+  AdvanceTime(milliseconds(600));
   HostOf(Leader()).ProposeMembership({MembershipChangeKind::kAddLearner, 0, name}, Collect());
-  Pass(milliseconds(100));
+  AdvanceTime(milliseconds(100));
   ASSERT_EQ(outcomes_.back().kind, ProposalOutcomeKind::kCommitted);
   ASSERT_EQ(outcomes_.back().assigned, 4U);
   Start(4, {StartMode::kJoin, 4, {}});
-  Pass(milliseconds(1000));
+  AdvanceTime(milliseconds(1000));
   const consensus::Membership membership = HostOf(Leader()).status().membership;
   EXPECT_TRUE(membership.IsVoter(4));
   EXPECT_FALSE(membership.Contains(lost));
@@ -346,7 +350,7 @@
   EXPECT_EQ(nodes_.at(4).commands.size(), 251U);
 }
 
-// Guards against a stored log whose tail a snapshot of the leader replaced before a crash.
+// Guards against using log entries that a snapshot of the leader replaced right before a crash.
 TEST_F(ReplicaHostTest, CrashBetweenSnapshotAndTruncationIsRepaired) {
   MemoryStorage storage;
   storage.state() = consensus::PersistedState::ForBootstrap(1, founders_);
@@ -359,7 +363,7 @@
   EXPECT_TRUE(storage.state().entries.empty());
 }
 
-// Guards against a shutdown that leaves the group without leader for an election timeout.
+// Guards against a shutdown that leaves the group without a leader for an election timeout.
 TEST_F(ReplicaHostTest, ShutdownHandsLeadershipOver) {
   Commit(1);
   const ReplicaId leader = Leader();
@@ -377,24 +381,24 @@
   EXPECT_EQ(outcomes_.back().kind, ProposalOutcomeKind::kCommitted);
 }
 
-// Guards against outcomes that do not hold: a committed proposal that is lost or doubled, or one
-// said to have no effect that takes effect, under random failures of storage, links and processes.
+// Guards against wrong outcomes under random failures of storage, links and processes: a committed
+// proposal that is lost or applied twice, or a proposal reported to have no effect that is applied.
 TEST_F(ReplicaHostTest, OutcomesHoldUnderRandomFailures) {
   const std::vector<std::string> operations{"hard_state", "append",        "truncate",
                                             "snapshot",   "install_first", "install_second"};
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     const base::Random random = base::SeededRandom(seed);
-    std::map<std::string, ProposalOutcomeKind> fates;
+    std::map<std::string, ProposalOutcomeKind> outcome_kinds;
     for (int step = 0; step < 1500; ++step) {
       const ReplicaId id = 1 + base::DrawBelow(random, 3);
       Node& node = nodes_.at(id);
       switch (base::DrawBelow(random, 40)) {
         case 0:
-          node.storage.failing = operations[base::DrawBelow(random, operations.size())];
+          node.storage.failing_operation = operations[base::DrawBelow(random, operations.size())];
           break;
         case 1:
         case 2:
-          node.storage.failing.clear();
+          node.storage.failing_operation.clear();
           break;
         case 3:
           cut_off_ = {id};
@@ -403,46 +407,46 @@
           cut_off_.clear();
           break;
         case 5:
-          node.storage.failing.clear();
+          node.storage.failing_operation.clear();
           Start(id, {StartMode::kRestart, 0, {}});
           break;
         default: {
           const std::string command = fmt::format("s{}-{}", seed, step);
-          node.host->Propose(command, [&fates, command](const ProposalOutcome& outcome) {
-            EXPECT_TRUE(fates.emplace(command, outcome.kind).second) << "completed twice";
+          node.host->Propose(command, [&outcome_kinds, command](const ProposalOutcome& outcome) {
+            EXPECT_TRUE(outcome_kinds.emplace(command, outcome.kind).second) << "completed twice";
           });
         }
       }
       if (base::DrawBelow(random, 2) == 0) {
-        Pass(milliseconds(base::DrawBelow(random, 100)));
+        AdvanceTime(milliseconds(base::DrawBelow(random, 100)));
       }
     }
     cut_off_.clear();
     for (auto& [id, node] : nodes_) {
-      node.storage.failing.clear();
+      node.storage.failing_operation.clear();
     }
-    Pass(milliseconds(8000));
+    AdvanceTime(milliseconds(8000));
     std::map<ProposalOutcomeKind, int> kinds;
     for (auto& [id, node] : nodes_) {
       ASSERT_EQ(node.commands, nodes_.at(1).commands) << "seed " << seed;
-      std::map<std::string, int> times;
+      std::map<std::string, int> apply_counts;
       for (const std::string& command : node.commands) {
-        ++times[command];
+        ++apply_counts[command];
       }
-      for (const auto& [command, kind] : fates) {
-        const bool is_open = kind == ProposalOutcomeKind::kUnknown;
-        const int least = kind == ProposalOutcomeKind::kCommitted ? 1 : 0;
-        const int most = is_open ? 1 : least;
+      for (const auto& [command, kind] : outcome_kinds) {
+        const bool is_unknown = kind == ProposalOutcomeKind::kUnknown;
+        const int min_count = kind == ProposalOutcomeKind::kCommitted ? 1 : 0;
+        const int max_count = is_unknown ? 1 : min_count;
         ++kinds[kind];
-        ASSERT_GE(times[command], least) << command << " seed " << seed;
-        ASSERT_LE(times[command], most) << command << " seed " << seed;
+        ASSERT_GE(apply_counts[command], min_count) << command << " seed " << seed;
+        ASSERT_LE(apply_counts[command], max_count) << command << " seed " << seed;
       }
     }
     ASSERT_GT(kinds[ProposalOutcomeKind::kCommitted], 0) << "seed " << seed;
   }
 }
 
-// Guards against a crash on bytes from the network.
+// Guards against a crash on malformed bytes from the network.
 TEST_F(ReplicaHostTest, UndecodableMessageIsRefused) {
   EXPECT_THROW(HostOf(1).Receive("garbage"), ReplicationError);
 }
