--- a/libraries/routing/error.h
+++ b/libraries/routing/error.h
@@ -5,7 +5,7 @@
 
 namespace borageloft::routing {
 
-/** Routing options that are out of range. */
+/** A routing option is out of range. */
 class Error : public base::Error {
  public:
   using base::Error::Error;
--- a/libraries/routing/load_estimate.cc
+++ b/libraries/routing/load_estimate.cc
@@ -6,15 +6,16 @@
 
 namespace {
 
-// Estimated time of an idle upstream relative to its latency. Without it, an upstream with nothing
-// in flight would cost nothing, and its latency and link would not matter.
-constexpr double kIdleUse = 0.5;
-
-// Weight that is 1 at age 0 and 1/2 at the half age; cheaper than an exponential.
-double AgeWeight(base::Duration age, base::Duration half_age) {
-  const double ages = static_cast<double>(std::max<std::int64_t>(age.count(), 0)) /
-                      static_cast<double>(half_age.count());
-  return 1.0 / (1.0 + ages);
+// Utilization added to that of every upstream. Without it, a lightly used upstream would cost
+// almost nothing, and its latency would hardly count.
+constexpr double kBaseUtilization = 0.5;
+
+// Decays from 1 at age 0 to 1/2 at the half age. Hyperbolic, as that is cheaper than an
+// exponential.
+double DecayFactor(base::Duration age, base::Duration half_age) {
+  const double half_ages = static_cast<double>(std::max<std::int64_t>(age.count(), 0)) /
+                           static_cast<double>(half_age.count());
+  return 1.0 / (1.0 + half_ages);
 }
 
 double ToSlots(std::uint32_t slots) { return static_cast<double>(std::max(slots, 1U)); }
@@ -36,28 +37,29 @@
 void LoadEstimate::RecordLatency(base::Duration latency, base::TimePoint now) {
   const auto sample = static_cast<double>(std::max<std::int64_t>(latency.count(), 1));
   latency_ = latency_ ? *latency_ + options_->sample_weight * (sample - *latency_) : sample;
-  latency_at_ = now;
+  latency_recorded_at_ = now;
 }
 
 void LoadEstimate::RecordReport(const LoadReport& report, base::TimePoint now) {
   report_ = report;
-  report_at_ = now;
+  report_recorded_at_ = now;
   others_in_flight_ = std::max(0.0, static_cast<double>(report.in_flight) - in_flight_);
 }
 
-base::Duration LoadEstimate::TimeToServe(base::TimePoint now, base::Duration typical) const {
-  const double latency = AgedLatency(now, typical);
-  const double own_use = (in_flight_ + 1.0) / slots_;
-  const double time = latency * (kIdleUse + own_use) * ReportFactor(now, latency);
+base::Duration LoadEstimate::TimeToServe(base::TimePoint now,
+                                         base::Duration service_latency) const {
+  const double latency = AgedLatency(now, service_latency);
+  const double own_utilization = (in_flight_ + 1.0) / slots_;
+  const double time = latency * (kBaseUtilization + own_utilization) * ReportFactor(now, latency);
   return base::Duration(static_cast<std::int64_t>(time));
 }
 
-double LoadEstimate::AgedLatency(base::TimePoint now, base::Duration typical) const {
-  const auto average = static_cast<double>(typical.count());
+double LoadEstimate::AgedLatency(base::TimePoint now, base::Duration service_latency) const {
+  const auto average = static_cast<double>(service_latency.count());
   if (!latency_) {
     return average;
   }
-  const double weight = AgeWeight(now - latency_at_, options_->latency_half_age);
+  const double weight = DecayFactor(now - latency_recorded_at_, options_->latency_half_age);
   return average + (*latency_ - average) * weight;
 }
 
@@ -67,17 +69,17 @@
   }
   const double limit =
       report_->limit == 0 ? slots_ : std::min(static_cast<double>(report_->limit), slots_);
-  const double own_use = (in_flight_ + 1.0) / slots_;
-  const double use = (in_flight_ + 1.0 + others_in_flight_) / limit;
-  double factor = (kIdleUse + use) / (kIdleUse + own_use);
+  const double own_utilization = (in_flight_ + 1.0) / slots_;
+  const double utilization = (in_flight_ + 1.0 + others_in_flight_) / limit;
+  double factor = (kBaseUtilization + utilization) / (kBaseUtilization + own_utilization);
   factor *= 2.0 - std::clamp(report_->admitted_share, 0.0, 1.0);
   if (report_->service_time > base::Duration::zero()) {
-    // The measured latency contains queueing, which `use` counts again; the reported service time
-    // does not.
+    // The measured latency includes queueing, which `utilization` accounts for as well. The
+    // reported service time excludes it.
     factor *= std::min(1.0, static_cast<double>(report_->service_time.count()) / latency);
   }
-  factor = std::clamp(factor, options_->lowest_report_factor, options_->highest_report_factor);
-  return 1.0 + (factor - 1.0) * AgeWeight(now - report_at_, options_->report_half_age);
+  factor = std::clamp(factor, options_->min_report_factor, options_->max_report_factor);
+  return 1.0 + (factor - 1.0) * DecayFactor(now - report_recorded_at_, options_->report_half_age);
 }
 
 }  // namespace borageloft::routing
--- a/libraries/routing/load_report.h
+++ b/libraries/routing/load_report.h
@@ -7,13 +7,13 @@
 
 namespace borageloft::routing {
 
-/** Load of an upstream as an answer carries it. It may be old or false. */
+/** Load of an upstream, as reported with a response. It may be stale or wrong. */
 struct LoadReport {
-  std::uint32_t in_flight = 0;     ///< Running and queued at the gate, of all callers.
+  std::uint32_t in_flight = 0;     ///< Running and queued requests of all callers.
   std::uint32_t limit = 0;         ///< Concurrency limit; 0 if unknown.
-  base::Duration service_time{0};  ///< Without queueing; 0 if unknown.
-  double admitted_share = 1.0;     ///< Share of requests that the admission level lets in.
-  bool is_leaving = false;         ///< The gate takes no new work.
+  base::Duration service_time{0};  ///< Excluding queueing; 0 if unknown.
+  double admitted_share = 1.0;     ///< Fraction of requests that admission control accepts.
+  bool is_leaving = false;         ///< The upstream accepts no new requests.
 };
 
 }  // namespace borageloft::routing
--- a/libraries/routing/outlier_detector.h
+++ b/libraries/routing/outlier_detector.h
@@ -10,89 +10,95 @@
 
 namespace borageloft::routing {
 
-/** Place of an upstream in outlier detection. */
-enum class Condition {
+/** State of an upstream in outlier detection. */
+enum class EjectionState {
   kNormal,
-  kSetAside,  ///< Gets no requests until its pause ends.
-  kProbing,   ///< Gets one request at a time, until enough of them succeeded.
+  kEjected,  ///< Receives no requests until the ejection ends, unless no other upstream is left.
+  kProbing,  ///< Receives one probe at a time, until enough of them have succeeded.
 };
 
-/** History of one upstream; the owner keeps it and passes it to the detector. */
+/** Failure history of an upstream. The caller owns it and passes it to the detector. */
 struct OutlierRecord {
-  Condition condition = Condition::kNormal;
-  unsigned failures_in_a_row = 0;
-  unsigned requests = 0;  ///< Since the last return; counts up to OutlierOptions::fewest_requests.
-  double failure_share = 0;  ///< Moving average.
-  double refusal_share = 0;  ///< Moving average.
-  base::TimePoint updated;   ///< Time of the moving averages.
-  unsigned times_set_aside = 0;
-  base::TimePoint pause_end;
-  base::TimePoint returned;
+  EjectionState ejection_state = EjectionState::kNormal;
+  unsigned consecutive_failures = 0;
+  unsigned requests = 0;  ///< Since the last reinstatement, capped at OutlierOptions::min_requests.
+  double failure_rate = 0;     ///< Moving average.
+  double refusal_rate = 0;     ///< Moving average.
+  base::TimePoint updated_at;  ///< Time of the last update of the moving averages.
+  unsigned ejection_count = 0;
+  base::TimePoint ejection_end;
+  base::TimePoint reinstated_at;
   unsigned probes_succeeded = 0;
   bool is_probe_in_flight = false;
 };
 
 /**
- * Sets upstreams aside that fail, for a time that grows with each repetition, but never more than
- * a stated part of the subset, and not when the whole service fails. After the pause an upstream
- * returns by probes. Upstreams that set aside or probing both count as set aside. Not thread-safe.
+ * Ejects failing upstreams from load balancing. The ejection time doubles with each repetition. At
+ * most a fixed fraction of the subset is ejected at once, and an upstream only if it fails
+ * markedly more often than the whole service. After its ejection time an upstream is probed, and
+ * it is reinstated after enough successful probes; until then it counts as ejected. Not
+ * thread-safe.
  */
 class OutlierDetector {
  public:
   /** @param options Must outlive this object. */
   explicit OutlierDetector(const OutlierOptions& options) : options_(&options) {}
 
-  /** Counts a served request. @param is_probe Whether it was sent as a probe. */
+  /** Records a served request. @param is_probe Whether it was sent as a probe. */
   void RecordSuccess(OutlierRecord& record, bool is_probe, base::TimePoint now);
 
-  /** Counts an error, a timeout or a broken connection, and sets aside if it is due. */
+  /** Records an error, a timeout or a lost connection, and ejects the upstream if it is due. */
   void RecordFailure(OutlierRecord& record, bool is_probe, base::TimePoint now);
 
-  /** Counts a refusal under overload. It is no fault, and never sets aside. */
+  /** Records a refusal under overload. It is not a failure and never ejects the upstream. */
   void RecordRefusal(OutlierRecord& record, bool is_probe, base::TimePoint now);
 
-  /** Ends a request that says nothing about the upstream. */
+  /** Records the end of a request that says nothing about the health of the upstream. */
   static void RecordNeutral(OutlierRecord& record, bool is_probe);
 
-  /** Marks the start of a probe. */
+  /** Records the start of a probe. */
   static void StartProbe(OutlierRecord& record);
 
-  /** Moves an upstream whose pause has ended to probing. */
+  /** Starts probing an upstream if its ejection time has passed. */
   static void Advance(OutlierRecord& record, base::TimePoint now);
 
-  /** Ends the pause of an upstream whose process restarted; it still has to pass its probes. */
+  /**
+   * Clears the failure history of an upstream whose process restarted. If it was ejected, probing
+   * starts at once.
+   */
   static void Restart(OutlierRecord& record);
 
-  /** Forgets an upstream that left the subset. */
+  /** Ends the ejection of an upstream, for example because it left the subset. */
   void Forget(OutlierRecord& record);
 
   /**
-   * Sets the size of the subset. If it shrinks below what is set aside, upstreams return to normal,
-   * the one with the earliest end of its pause first.
+   * Updates the maximum number of ejected upstreams after a change of the subset. If more are
+   * ejected, the ejections with the earliest end are lifted.
+   * @param records All upstreams of the subset.
    */
   void Resize(std::span<OutlierRecord* const> records);
 
-  /** @return Factor of at least 1 on the estimated time, from failures and refusals. */
+  /** @return Factor on the estimated time for failures and refusals, at least 1. */
   double Penalty(const OutlierRecord& record, base::TimePoint now) const;
 
-  /** @return Upstreams set aside or probing. */
-  std::size_t set_aside() const { return set_aside_; }
+  /** @return Number of upstreams ejected or probing. */
+  std::size_t ejected_count() const { return ejected_count_; }
 
-  /** @return The most that may be set aside or probing. */
-  std::size_t highest() const { return highest_; }
+  /** @return Maximum number of upstreams that may be ejected or probing. */
+  std::size_t max_ejected_count() const { return max_ejected_count_; }
 
  private:
-  void Average(OutlierRecord& record, bool is_failure, bool is_refusal, base::TimePoint now);
-  double AgeWeight(const OutlierRecord& record, base::TimePoint now) const;
-  bool ShouldSetAside(const OutlierRecord& record) const;
-  bool IsWorseThanService(double failure_share) const;
-  void SetAside(OutlierRecord& record, base::TimePoint now) const;
-  void Return(OutlierRecord& record, base::TimePoint now);
+  void UpdateAverages(OutlierRecord& record, bool is_failure, bool is_refusal, base::TimePoint now);
+  double DecayFactor(const OutlierRecord& record, base::TimePoint now) const;
+  bool ShouldEject(const OutlierRecord& record) const;
+  bool IsWorseThanService(double failure_rate) const;
+  void Eject(OutlierRecord& record, base::TimePoint now) const;
+  void Reinstate(OutlierRecord& record, base::TimePoint now);
 
   const OutlierOptions* options_;
-  double service_failure_share_ = 0;  // Moving average over all upstreams.
-  std::size_t set_aside_ = 0;
-  std::size_t highest_ = 0;
+  double service_failure_rate_ = 0;  // Moving average over all upstreams.
+  std::size_t ejected_count_ = 0;
+  std::size_t max_ejected_count_ = 0;
 };
 
 }  // namespace borageloft::routing
--- a/libraries/routing/router.cc
+++ b/libraries/routing/router.cc
@@ -6,12 +6,13 @@
 
 namespace {
 
-// A leaving report is believed until membership, which lags by up to 2 s, has surely caught up.
-constexpr std::chrono::seconds kLeavingReportLife{5};
+// Time for which a load report that an upstream is leaving is trusted. Membership lags by up to 2 s
+// and reports it as well by then.
+constexpr std::chrono::seconds kLeavingReportLifetime{5};
 
-// One answer moves the service's average by this part; with several upstreams it changes slower
-// than that of one upstream.
-constexpr double kTypicalWeight = 0.05;
+// Weight of one latency in the service's average. It is lower than the weight in an upstream's own
+// average, because the latencies of all upstreams contribute.
+constexpr double kServiceLatencyWeight = 0.05;
 
 template <typename Value>
 bool Contains(const std::vector<Value>& values, const Value& value) {
@@ -29,7 +30,7 @@
   own.clear();
   other.clear();
   probes.clear();
-  set_aside.clear();
+  ejected.clear();
   tried_zones.clear();
 }
 
@@ -38,7 +39,7 @@
       subset_(node, zone, options_.subset),
       outliers_(options_.outlier),
       zones_(zone, options_.zone),
-      typical_latency_(options_.estimate.initial_service_time) {}
+      service_latency_(options_.estimate.initial_service_time) {}
 
 void Router::UpdateMembers(const std::vector<UpstreamView>& members, base::TimePoint now) {
   known_members_ = members.size();
@@ -115,9 +116,9 @@
       continue;
     }
     OutlierDetector::Advance(member.outlier, now);
-    if (member.outlier.condition != Condition::kNormal) {
-      candidates_.set_aside.push_back(&member);
-      if (may_probe && member.outlier.condition == Condition::kProbing &&
+    if (member.outlier.ejection_state != EjectionState::kNormal) {
+      candidates_.ejected.push_back(&member);
+      if (may_probe && member.outlier.ejection_state == EjectionState::kProbing &&
           !member.outlier.is_probe_in_flight) {
         candidates_.probes.push_back(&member);
       }
@@ -138,9 +139,9 @@
   if (own.member != nullptr || other.member != nullptr) {
     return own.member != nullptr ? own : other;
   }
-  // Nothing better is left: a zone that was tried already, then an upstream that was set aside.
+  // As a last resort, use a zone that was tried already, then an ejected upstream.
   const Pick tried = PickBest(candidates_.tried_zones, now, random);
-  return tried.member != nullptr ? tried : PickBest(candidates_.set_aside, now, random);
+  return tried.member != nullptr ? tried : PickBest(candidates_.ejected, now, random);
 }
 
 Router::Pick Router::PickBest(std::vector<Member*>& members, base::TimePoint now,
@@ -148,7 +149,7 @@
   Pick best;
   const std::size_t count = std::min(options_.choices, members.size());
   for (std::size_t i = 0; i < count; ++i) {
-    // Moves a random one of those not yet compared to the front.
+    // Partial Fisher-Yates shuffle: moves a random upstream that was not yet compared to index i.
     std::swap(members[i], members[i + base::DrawBelow(random, members.size() - i)]);
     const base::Duration time = EstimatedTime(*members[i], now);
     if (best.member == nullptr || time < best.time) {
@@ -166,13 +167,13 @@
 }
 
 base::Duration Router::EstimatedTime(const Member& member, base::TimePoint now) const {
-  const auto time = static_cast<double>(member.load.TimeToServe(now, typical_latency_).count());
+  const auto time = static_cast<double>(member.load.TimeToServe(now, service_latency_).count());
   const double penalised = time * outliers_.Penalty(member.outlier, now);
   return base::Duration(static_cast<std::int64_t>(penalised)) + zones_.RoundTrip(member.zone);
 }
 
 bool Router::IsLeaving(const Member& member, base::TimePoint now) {
-  return member.leaving_since && now - *member.leaving_since < kLeavingReportLife;
+  return member.leaving_since && now - *member.leaving_since < kLeavingReportLifetime;
 }
 
 Choice Router::MakeChoice(const Member& member, base::Duration time, bool is_probe) const {
@@ -198,7 +199,7 @@
       OutlierDetector::StartProbe(member.outlier);
     }
   }
-  zones_.Count(zones_.IndexOf(choice.zone));
+  zones_.CountRequest(zones_.IndexOf(choice.zone));
   attempts_.emplace(static_cast<std::uint64_t>(id), std::move(attempt));
   return id;
 }
@@ -241,8 +242,8 @@
     return;
   }
   member->load.Finish();
-  // The answer would have taken at least this long. It does not enter the service's average.
-  member->load.RecordLatency(WithoutLink(*member, waited), now);
+  // The latency is at least the time waited. It is not added to the service's average.
+  member->load.RecordLatency(SubtractRoundTrip(*member, waited), now);
   outliers_.RecordFailure(member->outlier, ended->is_probe, now);
 }
 
@@ -254,7 +255,7 @@
   std::vector<UpstreamStatus> status;
   status.reserve(members_.size());
   for (const auto& member : members_) {
-    status.push_back({member->view, member->outlier.condition, IsLeaving(*member, now),
+    status.push_back({member->view, member->outlier.ejection_state, IsLeaving(*member, now),
                       member->load.in_flight(), EstimatedTime(*member, now)});
   }
   return status;
@@ -277,14 +278,15 @@
 }
 
 void Router::RecordServed(Member& member, base::Duration latency, base::TimePoint now) {
-  const base::Duration served = WithoutLink(member, latency);
+  const base::Duration served = SubtractRoundTrip(member, latency);
   member.load.RecordLatency(served, now);
-  const auto change = static_cast<double>((served - typical_latency_).count());
-  typical_latency_ += base::Duration(static_cast<std::int64_t>(change * kTypicalWeight));
+  const auto change = static_cast<double>((served - service_latency_).count());
+  service_latency_ += base::Duration(static_cast<std::int64_t>(change * kServiceLatencyWeight));
 }
 
-base::Duration Router::WithoutLink(const Member& member, base::Duration latency) const {
-  // The link's average may exceed one measured latency; a tenth of it surely was the upstream.
+base::Duration Router::SubtractRoundTrip(const Member& member, base::Duration latency) const {
+  // The average round trip may exceed the measured latency, so at least a tenth of the latency is
+  // attributed to the upstream.
   return std::max(latency - zones_.RoundTrip(member.zone), latency / 10);
 }
 
--- a/libraries/routing/router.h
+++ b/libraries/routing/router.h
@@ -20,20 +20,20 @@
 
 namespace borageloft::routing {
 
-/** Whether a request may test an upstream that was set aside. */
+/** Whether a request may be used to probe an ejected upstream. */
 enum class ProbeUse {
   kAllowed,
   kForbidden,  ///< For requests that cannot be retried.
 };
 
-/** What a choice has to respect. */
+/** Constraints on the choice of an upstream. */
 struct RouteRequest {
-  std::vector<UpstreamId> tried;         ///< Never chosen again.
-  std::vector<std::string> tried_zones;  ///< Chosen only if no other zone has an upstream left.
+  std::vector<UpstreamId> tried;         ///< Excluded from the choice.
+  std::vector<std::string> tried_zones;  ///< Used only if no other zone has an upstream left.
   ProbeUse probe_use = ProbeUse::kAllowed;
 };
 
-/** Upstream that a request should be sent to. */
+/** The upstream chosen for a request. */
 struct Choice {
   UpstreamId upstream;
   std::string node;
@@ -41,113 +41,114 @@
   std::string zone;
   std::uint64_t incarnation = 0;
   bool is_cross_zone = false;
-  bool is_probe = false;             ///< Tests an upstream that was set aside.
-  base::Duration estimated_time{0};  ///< With the link.
+  bool is_probe = false;             ///< The request probes an ejected upstream.
+  base::Duration estimated_time{0};  ///< Including the network round trip.
 };
 
-/** Why no upstream could be chosen. */
+/** Why no upstream was chosen. */
 enum class RouteFailure {
   kNoMembers,   ///< The service has no upstream.
   kAllLeaving,  ///< Every upstream is leaving.
-  kAllTried,    ///< Every upstream of the subset that takes work was tried already.
+  kAllTried,    ///< Every upstream of the subset was tried or reported that it is leaving.
 };
 
 /** A choice, or the reason why there is none. */
 using RouteResult = std::variant<Choice, RouteFailure>;
 
-/** How an attempt ended, as far as the upstream is concerned. */
+/** How an attempt at an upstream ended. */
 enum class AttemptOutcome {
-  kServed,     ///< A whole answer that is no server error.
-  kError,      ///< A server error, or a truncated answer.
+  kServed,     ///< A complete response that is not a server error.
+  kError,      ///< A server error, or a truncated response.
   kRefused,    ///< Refused under overload; not run.
-  kLost,       ///< The connection ended.
-  kCancelled,  ///< The caller gave up; says nothing about the upstream.
+  kLost,       ///< The connection was lost.
+  kCancelled,  ///< Cancelled by the caller; says nothing about the upstream.
 };
 
-/** Names one attempt of this node. */
+/** Identifies an attempt of this node. */
 enum class AttemptId : std::uint64_t {};
 
-/** End of an attempt. */
+/** Result of an attempt. */
 struct AttemptResult {
   AttemptOutcome outcome = AttemptOutcome::kServed;
-  base::Duration latency{0};  ///< As this node measured it, with the link.
+  base::Duration latency{0};  ///< Measured by this node, including the network round trip.
   std::optional<LoadReport> report;
 };
 
-/** State of one upstream of the subset, for status output and metrics. */
+/** State of an upstream of the subset, for status output and metrics. */
 struct UpstreamStatus {
   UpstreamView view;
-  Condition condition = Condition::kNormal;
-  bool is_leaving = false;  ///< By its own report.
+  EjectionState ejection_state = EjectionState::kNormal;
+  bool is_leaving = false;  ///< According to its load report.
   std::uint32_t in_flight = 0;
   base::Duration estimated_time{0};
 };
 
 /**
- * Chooses upstreams of one service for one node: a stable subset, sampled choices by estimated
- * time, the own availability zone first, and outliers set aside. Does no I/O. Not thread-safe.
+ * Load balancer of one service on one node. Uses a stable subset of the upstreams, compares random
+ * samples of it by estimated time, prefers the node's own availability zone and ejects outliers.
+ * Does no I/O. Not thread-safe.
  */
 class Router {
  public:
   /**
-   * @param node Id of this node; decides the subset.
+   * @param node Id of this node; determines the subset.
    * @param zone This node's availability zone.
    * @throws Error If an option is out of range.
    */
   Router(std::string_view node, const std::string& zone, const RoutingOptions& options);
 
-  // The parts point into the options.
+  // Members hold pointers to `options_`.
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
 
   /**
-   * Replaces the list of members. State of upstreams that stay in the subset is kept; a higher
-   * incarnation starts afresh, and a lower one than known is ignored.
+   * Replaces the list of members. The state of upstreams that remain in the subset is kept. A
+   * higher incarnation resets it; a lower one than the known incarnation is ignored.
    * @param members All upstreams of the service, with distinct ids.
    */
   void UpdateMembers(const std::vector<UpstreamView>& members, base::TimePoint now);
 
-  /** @return The upstream for a request, or why there is none. Counts nothing as sent. */
+  /** @return The upstream for @p request, or why there is none. Counts no request as sent. */
   RouteResult Choose(const RouteRequest& request, base::TimePoint now, const base::Random& random);
 
-  /** Records that a request was sent to the chosen upstream. @return The attempt. */
+  /** Records that a request was sent to the chosen upstream. @return Id of the attempt. */
   AttemptId RecordStart(const Choice& choice);
 
   /**
-   * Records the end of an attempt. Without effect after RecordTimeout() of the same attempt, so a
-   * late answer may be reported.
+   * Records the end of an attempt. Has no effect after RecordTimeout() of the same attempt, so a
+   * late response may be reported.
    */
   void RecordFinish(AttemptId attempt, const AttemptResult& result, base::TimePoint now);
 
-  /** Records that the node gave up on an attempt. @param waited Time from its start. */
+  /** Records the timeout of an attempt. @param waited Time since its start. */
   void RecordTimeout(AttemptId attempt, base::Duration waited, base::TimePoint now);
 
-  /** Records a measured round trip to a zone, for example of a heartbeat. */
+  /** Records a measured round-trip time to a zone, for example of a heartbeat. */
   void RecordRoundTrip(std::string_view zone, base::Duration round_trip);
 
   /** @return State of each upstream of the subset. */
   std::vector<UpstreamStatus> Status(base::TimePoint now) const;
 
-  /** @return Requests sent, by zone, the own zone first. */
+  /** @return Number of requests sent by zone, this node's own zone first. */
   std::vector<ZoneCount> zone_counts() const { return zones_.counts(); }
 
-  /** @return Requests sent to other zones. */
+  /** @return Number of requests sent to other zones. */
   std::uint64_t cross_zone_requests() const { return zones_.cross_zone_requests(); }
 
-  /** @return Upstreams set aside or probing. */
-  std::size_t set_aside() const { return outliers_.set_aside(); }
+  /** @return Number of upstreams ejected or probing. */
+  std::size_t ejected_count() const { return outliers_.ejected_count(); }
 
-  /** @return Attempts started and not ended. */
+  /** @return Number of attempts that have not ended. */
   std::size_t attempts_in_flight() const { return attempts_.size(); }
 
  private:
   struct Member {
     UpstreamView view;
-    std::uint64_t generation = 0;  // Separates attempts of different lives of one upstream.
+    std::uint64_t generation = 0;  // Distinguishes attempts before and after a restart.
     ZoneSpill::ZoneIndex zone{};
     LoadEstimate load;
     OutlierRecord outlier;
-    std::optional<base::TimePoint> leaving_since;  // By its own report.
+    std::optional<base::TimePoint> leaving_since;  // According to its load report.
   };
 
   struct Attempt {
@@ -156,12 +157,12 @@
     bool is_probe = false;
   };
 
-  /** Upstreams that a request may go to. */
+  /** Upstreams eligible for a request, in groups of different preference. */
   struct Candidates {
     std::vector<Member*> own;
     std::vector<Member*> other;
     std::vector<Member*> probes;
-    std::vector<Member*> set_aside;
+    std::vector<Member*> ejected;
     std::vector<Member*> tried_zones;
 
     void Clear();
@@ -184,7 +185,7 @@
   std::optional<Attempt> TakeAttempt(AttemptId id);
   Member* FindMember(const Attempt& attempt);
   void RecordServed(Member& member, base::Duration latency, base::TimePoint now);
-  base::Duration WithoutLink(const Member& member, base::Duration latency) const;
+  base::Duration SubtractRoundTrip(const Member& member, base::Duration latency) const;
 
   RoutingOptions options_;
   StableSubset subset_;
@@ -195,9 +196,9 @@
   std::unordered_map<std::uint64_t, Attempt> attempts_;
   std::uint64_t next_attempt_ = 1;
   std::uint64_t next_generation_ = 1;
-  std::size_t known_members_ = 0;  // Of the service, also outside of the subset.
-  base::Duration typical_latency_;
-  Candidates candidates_;  // Kept between choices to spare allocations.
+  std::size_t known_members_ = 0;  // Members of the service, including those outside the subset.
+  base::Duration service_latency_;
+  Candidates candidates_;  // Reused between choices to avoid allocations.
 };
 
 }  // namespace borageloft::routing
--- a/libraries/routing/routing.h
+++ b/libraries/routing/routing.h
@@ -1,7 +1,7 @@
 #ifndef BORAGELOFT_ROUTING_ROUTING_H_
 #define BORAGELOFT_ROUTING_ROUTING_H_
 
-/** @file Public header of the routing library: which upstream serves a request. */
+/** @file Public header of the routing library, which selects the upstream for a request. */
 
 #include "libraries/routing/error.h"
 #include "libraries/routing/load_estimate.h"
--- a/libraries/routing/stable_subset.cc
+++ b/libraries/routing/stable_subset.cc
@@ -18,7 +18,7 @@
   }
   const auto own_places = static_cast<std::size_t>(
       std::lround(options_.own_zone_share * static_cast<double>(options_.size)));
-  // A part that cannot fill its places leaves them to the other part.
+  // Places that the upstreams of one part do not fill go to the other part.
   const std::size_t other_places =
       std::min(other.size(), options_.size - std::min(own_places, own.size()));
   KeepBest(own, options_.size - other_places);
@@ -34,8 +34,8 @@
 }
 
 double StableSubset::Score(const UpstreamView& view) const {
-  // Weighted rendezvous: the smallest of exponential draws with rate `slots` wins in proportion to
-  // the slots.
+  // Weighted rendezvous hashing: among exponentially distributed values with rate `slots`, each
+  // candidate's is the smallest with a probability proportional to its slots.
   const double draw =
       (static_cast<double>(base::Hash(view.id.value, seed_) >> 11U) + 0.5) * 0x1.0p-53;
   return -std::log(draw) / static_cast<double>(std::max(view.slots, 1U));
--- a/libraries/routing/stable_subset.h
+++ b/libraries/routing/stable_subset.h
@@ -13,9 +13,9 @@
 namespace borageloft::routing {
 
 /**
- * Selects the upstreams of a service that this node keeps connections to, by rendezvous hash of
- * this node's id and the upstream's id, weighted by slots. A member that comes or goes changes at
- * most one place of the own zone's part and one of the other zones' part. Not thread-safe.
+ * Selects the upstreams of a service that this node connects to, by rendezvous hashing of the ids
+ * of the node and the upstream, weighted by slots. Adding or removing an upstream replaces at most
+ * one upstream of the node's own zone and one of the other zones. Not thread-safe.
  */
 class StableSubset {
  public:
@@ -27,8 +27,8 @@
 
   /**
    * @param members All upstreams of the service, with distinct ids, in any order.
-   * @return Serving members of the subset, best first in each part, the own zone's part first. The
-   *         pointers point into @p members.
+   * @return Serving upstreams of the subset: those of the node's own zone first, then those of
+   *         other zones, each by descending rank. The pointers point into @p members.
    */
   std::vector<const UpstreamView*> Select(std::span<const UpstreamView> members) const;
 
--- a/libraries/routing/upstream_view.h
+++ b/libraries/routing/upstream_view.h
@@ -6,7 +6,7 @@
 
 namespace borageloft::routing {
 
-/** Names one upstream of a service. */
+/** Identifies an upstream of a service. */
 struct UpstreamId {
   std::string value;
 
@@ -14,18 +14,18 @@
   bool operator<(const UpstreamId& other) const { return value < other.value; }
 };
 
-/** Whether an upstream takes new work. */
+/** Whether an upstream accepts new requests. */
 enum class UpstreamState { kServing, kLeaving };
 
-/** What membership tells about one upstream. */
+/** An upstream as membership reports it. */
 struct UpstreamView {
   UpstreamId id;
-  std::string node;          ///< Id of the node beside the upstream.
-  std::string node_address;  ///< "host:port" of that node's node address.
+  std::string node;          ///< Id of the node on the host of the upstream.
+  std::string node_address;  ///< "host:port" at which other nodes reach that node.
   std::string zone;
   std::uint32_t slots = 1;  ///< Announced slots; 0 counts as 1.
   UpstreamState state = UpstreamState::kServing;
-  std::uint64_t incarnation = 1;  ///< Rises with each restart.
+  std::uint64_t incarnation = 1;  ///< Increases with each restart.
 };
 
 }  // namespace borageloft::routing
--- a/libraries/routing/zone_spill.cc
+++ b/libraries/routing/zone_spill.cc
@@ -36,7 +36,9 @@
          static_cast<double>(own.count()) * (1.0 - options_->margin);
 }
 
-void ZoneSpill::Count(ZoneIndex zone) { ++zones_.at(static_cast<std::size_t>(zone)).requests; }
+void ZoneSpill::CountRequest(ZoneIndex zone) {
+  ++zones_.at(static_cast<std::size_t>(zone)).requests;
+}
 
 std::vector<ZoneCount> ZoneSpill::counts() const {
   std::vector<ZoneCount> counts;
--- a/libraries/routing/zone_spill.h
+++ b/libraries/routing/zone_spill.h
@@ -12,50 +12,51 @@
 
 namespace borageloft::routing {
 
-/** Requests sent to one availability zone. */
+/** Number of requests sent to an availability zone. */
 struct ZoneCount {
   std::string zone;
   std::uint64_t requests = 0;
 };
 
 /**
- * Decides when requests leave this node's availability zone: when an upstream there is expected
- * to take longer than one of another zone with its link. Counts requests by zone. Not thread-safe.
+ * Decides when requests spill over to another availability zone: when an upstream of this node's
+ * zone is expected to take longer than one of another zone, including the round trip to it. Counts
+ * requests by zone. Not thread-safe.
  */
 class ZoneSpill {
  public:
-  /** Names a zone within this object. */
+  /** Index of a zone within this object. */
   enum class ZoneIndex : std::size_t {};
 
   /** @param own_zone This node's availability zone. @param options Must outlive this object. */
   ZoneSpill(std::string own_zone, const ZoneOptions& options);
 
-  /** @return Index of a zone, which is added if it is new. */
+  /** @return Index of @p zone, which is added if it is new. */
   ZoneIndex IndexOf(std::string_view zone);
 
-  /** Adds a measured round trip to a zone. */
+  /** Adds a measured round-trip time to @p zone. */
   void RecordRoundTrip(std::string_view zone, base::Duration round_trip);
 
-  /** @return Average round trip to a zone; 0 to the own zone before it is measured. */
+  /** @return Average round-trip time to @p zone; 0 for this node's own before it is measured. */
   base::Duration RoundTrip(ZoneIndex zone) const;
 
-  /** @return Whether @p zone is this node's own. */
+  /** @return Whether @p zone is this node's own zone. */
   static bool IsOwn(ZoneIndex zone) { return zone == kOwnZone; }
 
   /**
-   * @param own Estimated time of the best own upstream that was compared.
-   * @param other The same of other zones, with the link.
-   * @return Whether the request should leave the zone.
+   * @param own Estimated time of the best compared upstream in this node's zone.
+   * @param other Estimated time of the best one in other zones, including the round trip.
+   * @return Whether the request should be sent to another zone.
    */
   bool ShouldSpill(base::Duration own, base::Duration other) const;
 
-  /** Counts a request sent to a zone. */
-  void Count(ZoneIndex zone);
+  /** Counts a request sent to @p zone. */
+  void CountRequest(ZoneIndex zone);
 
-  /** @return Requests by zone, the own zone first. */
+  /** @return Number of requests by zone, this node's own zone first. */
   std::vector<ZoneCount> counts() const;
 
-  /** @return Requests sent to other zones. */
+  /** @return Number of requests sent to other zones. */
   std::uint64_t cross_zone_requests() const;
 
  private:
--- a/tests/routing/parts_test.cc
+++ b/tests/routing/parts_test.cc
@@ -43,7 +43,7 @@
       std::count_if(from.begin(), from.end(), [&](const auto& id) { return !in.contains(id); }));
 }
 
-// Guards against connections that are torn down and rebuilt whenever some upstream comes or goes.
+// Guards against rebuilding many connections whenever an upstream joins or leaves.
 TEST(StableSubsetTest, OneMemberChangesAtMostOnePlaceOfEachPart) {
   const StableSubset subset("node-a", "zone-0", {});
   for (const std::size_t count : {5U, 30U, 40U, 75U, 300U}) {
@@ -60,7 +60,8 @@
   }
 }
 
-// Guards against a subset that depends on the order of the list or misses its size or zone part.
+// Guards against a subset that depends on the order of the list, has the wrong size or contains too
+// few upstreams of the node's own zone.
 TEST(StableSubsetTest, KeepsSizeAndOwnZonePart) {
   const StableSubset subset("node-a", "zone-0", {});
   auto members = MakeMembers(6400, 11);
@@ -76,7 +77,8 @@
   EXPECT_EQ(subset.Select(members).size(), 10U);
 }
 
-// Guards against work for leaving upstreams, and against subsets of all nodes that crowd on few.
+// Guards against selecting leaving upstreams, and against subsets that concentrate on few
+// upstreams.
 TEST(StableSubsetTest, SkipsLeavingAndSpreadsOverMembers) {
   auto members = MakeMembers(100, 1);
   members[3].state = UpstreamState::kLeaving;
@@ -88,7 +90,7 @@
     }
   }
   EXPECT_FALSE(uses.contains("upstream-3"));
-  // 1000 nodes x 24 places / 99 members is 242 each, with a standard deviation of 14.
+  // 1000 nodes x 24 places / 99 members is 242 on average, with a standard deviation of 14.
   for (const auto& [id, count] : uses) {
     EXPECT_NEAR(count, 242, 70) << id;
   }
@@ -109,7 +111,7 @@
   base::TimePoint now_{seconds(100)};
 };
 
-// Guards against a count that becomes negative and then attracts all requests.
+// Guards against a negative number of requests in flight, which would attract all requests.
 TEST_F(LoadEstimateTest, InFlightNeverNegative) {
   LoadEstimate load(options_, 8);
   load.Start();
@@ -117,7 +119,7 @@
   EXPECT_THROW(load.Finish(), VerifyFailure);
 }
 
-// Guards against a false report that attracts or repels more than the stated bounds.
+// Guards against wrong load reports that change the estimate beyond the configured bounds.
 TEST_F(LoadEstimateTest, ReportsChangeTheEstimateWithinBounds) {
   for (const std::uint32_t own : {0U, 3U, 50U}) {
     LoadEstimate honest(options_, 8);
@@ -130,13 +132,13 @@
           LoadReport{4'000'000'000, 1, seconds(1000), -5.0, false}}) {
       LoadEstimate reported = honest;
       reported.RecordReport(report, now_);
-      EXPECT_GE(Time(reported), Time(honest) * options_.lowest_report_factor - 1);
-      EXPECT_LE(Time(reported), Time(honest) * options_.highest_report_factor + 1);
+      EXPECT_GE(Time(reported), Time(honest) * options_.min_report_factor - 1);
+      EXPECT_LE(Time(reported), Time(honest) * options_.max_report_factor + 1);
     }
   }
 }
 
-// Guards against old reports and latencies that keep their effect for good.
+// Guards against load reports and latencies that keep their effect however old they are.
 TEST_F(LoadEstimateTest, ReportsAndLatenciesAge) {
   LoadEstimate load(options_, 8);
   load.RecordLatency(milliseconds(100), now_);
@@ -148,7 +150,7 @@
   EXPECT_NEAR(Time(load), Time(fresh), Time(fresh) * 0.02);
 }
 
-// Guards against requests of this node that are counted twice because the report has them too.
+// Guards against counting this node's requests twice, as the load report includes them.
 TEST_F(LoadEstimateTest, OwnRequestsAreNotCountedTwice) {
   LoadEstimate load(options_, 8);
   for (int i = 0; i < 4; ++i) {
@@ -180,9 +182,11 @@
       detector_.RecordFailure(records_[index], false, now_);
     }
   }
-  base::Duration PauseOf(std::size_t index) const { return records_[index].pause_end - now_; }
+  base::Duration EjectionTimeLeft(std::size_t index) const {
+    return records_[index].ejection_end - now_;
+  }
   void FailProbe(std::size_t index) {
-    now_ = records_[index].pause_end;
+    now_ = records_[index].ejection_end;
     OutlierDetector::Advance(records_[index], now_);
     detector_.RecordFailure(records_[index], true, now_);
   }
@@ -193,52 +197,52 @@
   base::TimePoint now_{seconds(100)};
 };
 
-// Guards against detection that takes away more capacity than stated.
-TEST_F(OutlierDetectorTest, SetsAsideAtMostTheStatedShare) {
+// Guards against ejecting more upstreams than the configured fraction.
+TEST_F(OutlierDetectorTest, EjectsAtMostTheConfiguredShare) {
   for (std::size_t index = 0; index < 6; ++index) {
     Serve(200);
     Fail(index, 10);
   }
-  EXPECT_EQ(detector_.set_aside(), 3U);
+  EXPECT_EQ(detector_.ejected_count(), 3U);
   Resize(7);
-  EXPECT_EQ(detector_.set_aside(), 2U);
+  EXPECT_EQ(detector_.ejected_count(), 2U);
   detector_.Forget(records_[0]);
   detector_.Forget(records_[1]);
   detector_.Forget(records_[2]);
-  EXPECT_EQ(detector_.set_aside(), 0U);
+  EXPECT_EQ(detector_.ejected_count(), 0U);
 }
 
-// Guards against a broken upstream that is tried as often after its tenth failure as after its
-// first, and against a pause without end.
-TEST_F(OutlierDetectorTest, PauseGrowsUpToItsLimit) {
+// Guards against an ejection time that does not grow with repeated failures, or grows without
+// bound.
+TEST_F(OutlierDetectorTest, EjectionTimeGrowsUpToItsLimit) {
   Serve(200);
   Fail(0, 5);
-  EXPECT_EQ(records_[0].condition, Condition::kSetAside);
-  EXPECT_EQ(PauseOf(0), seconds(1));
+  EXPECT_EQ(records_[0].ejection_state, EjectionState::kEjected);
+  EXPECT_EQ(EjectionTimeLeft(0), seconds(1));
   for (const int expected : {2, 4, 8, 16, 30, 30}) {
     Serve(200);
     FailProbe(0);
-    EXPECT_EQ(PauseOf(0), seconds(expected));
+    EXPECT_EQ(EjectionTimeLeft(0), seconds(expected));
   }
 }
 
-// Guards against a repaired upstream that stays set aside, or returns after a single success.
+// Guards against a recovered upstream that stays ejected or is reinstated after a single probe.
 TEST_F(OutlierDetectorTest, ReturnsAfterProbes) {
   Serve(200);
   Fail(0, 5);
-  now_ = records_[0].pause_end;
+  now_ = records_[0].ejection_end;
   OutlierDetector::Advance(records_[0], now_);
-  for (unsigned probe = 1; probe <= options_.probes_to_return; ++probe) {
-    EXPECT_EQ(records_[0].condition, Condition::kProbing);
-    EXPECT_EQ(detector_.set_aside(), 1U);
+  for (unsigned probe = 1; probe <= options_.probes_to_reinstate; ++probe) {
+    EXPECT_EQ(records_[0].ejection_state, EjectionState::kProbing);
+    EXPECT_EQ(detector_.ejected_count(), 1U);
     detector_.RecordSuccess(records_[0], true, now_);
   }
-  EXPECT_EQ(records_[0].condition, Condition::kNormal);
-  EXPECT_EQ(detector_.set_aside(), 0U);
+  EXPECT_EQ(records_[0].ejection_state, EjectionState::kNormal);
+  EXPECT_EQ(detector_.ejected_count(), 0U);
 }
 
-// Guards against lost capacity when all upstreams fail because of a service behind them.
-TEST_F(OutlierDetectorTest, CommonFailureSetsNothingAside) {
+// Guards against ejections when all upstreams fail because of a common dependency.
+TEST_F(OutlierDetectorTest, CommonFailureEjectsNothing) {
   for (int round = 0; round < 200; ++round) {
     for (auto& record : records_) {
       detector_.RecordFailure(record, false, now_);
@@ -247,20 +251,20 @@
       }
     }
   }
-  EXPECT_EQ(detector_.set_aside(), 0U);
+  EXPECT_EQ(detector_.ejected_count(), 0U);
 }
 
-// Guards against refusals under overload that are taken for faults.
+// Guards against treating refusals under overload as failures.
 TEST_F(OutlierDetectorTest, RefusalsOnlyRaiseTheEstimate) {
   for (int i = 0; i < 1000; ++i) {
     detector_.RecordRefusal(records_[0], false, now_);
   }
-  EXPECT_EQ(records_[0].condition, Condition::kNormal);
+  EXPECT_EQ(records_[0].ejection_state, EjectionState::kNormal);
   EXPECT_NEAR(detector_.Penalty(records_[0], now_), 1 + options_.refusal_penalty, 0.01);
   EXPECT_LT(detector_.Penalty(records_[0], now_ + minutes(10)), 1.1);
 }
 
-// Guards against flapping between equal zones, and cross-zone requests that are not counted.
+// Guards against flapping between equal zones and against uncounted cross-zone requests.
 TEST(ZoneSpillTest, SpillsBeyondMarginAndCounts) {
   const ZoneOptions options;
   ZoneSpill zones("a", options);
@@ -271,9 +275,9 @@
   EXPECT_EQ(zones.RoundTrip(zones.IndexOf("b")), options.initial_round_trip);
   zones.RecordRoundTrip("b", milliseconds(2));
   EXPECT_EQ(zones.RoundTrip(zones.IndexOf("b")), milliseconds(2));
-  zones.Count(zones.IndexOf("a"));
-  zones.Count(zones.IndexOf("b"));
-  zones.Count(zones.IndexOf("c"));
+  zones.CountRequest(zones.IndexOf("a"));
+  zones.CountRequest(zones.IndexOf("b"));
+  zones.CountRequest(zones.IndexOf("c"));
   EXPECT_EQ(zones.cross_zone_requests(), 2U);
   EXPECT_EQ(zones.counts().front().zone, "a");
 }
--- a/tests/routing/queue_model.cc
+++ b/tests/routing/queue_model.cc
@@ -42,14 +42,14 @@
     callers_.back().router->UpdateMembers(callers_.back().known, now_);
     for (std::size_t other = 0; other < options.zones; ++other) {
       if (ZoneName(other) != zone) {
-        callers_.back().router->RecordRoundTrip(ZoneName(other), 2 * options.cross_link);
+        callers_.back().router->RecordRoundTrip(ZoneName(other), 2 * options.cross_zone_delay);
       }
     }
   }
-  At(base::Duration::zero(), [this] { Arrive(); });
+  Schedule(base::Duration::zero(), [this] { HandleArrival(); });
 }
 
-void QueueModel::At(base::Duration time, std::function<void()> action) {
+void QueueModel::Schedule(base::Duration time, std::function<void()> action) {
   events_.push({base::TimePoint(time), next_number_++, std::move(action)});
 }
 
@@ -97,18 +97,18 @@
   }
   for (Caller& caller : callers_) {
     const base::Duration delay(base::DrawBelow(random_, 2'000'000'000));
-    At(now() + delay, [this, &caller, members] {
+    Schedule(now() + delay, [this, &caller, members] {
       caller.known = members;
       caller.router->UpdateMembers(members, now_);
     });
   }
 }
 
-void QueueModel::Arrive() {
+void QueueModel::HandleArrival() {
   if (now() >= options_.arrivals_end) {
     return;
   }
-  At(now() + DrawExponential(1e9 / options_.rate), [this] { Arrive(); });
+  Schedule(now() + DrawExponential(1e9 / options_.rate), [this] { HandleArrival(); });
   const bool is_first_zone = base::DrawFraction(random_) < options_.first_zone_share;
   const std::size_t caller =
       is_first_zone ? base::DrawBelow(random_, options_.callers_per_zone)
@@ -127,16 +127,18 @@
   const Choice& choice = std::get<Choice>(result);
   const AttemptId id =
       options_.policy == Policy::kRouter ? caller.router->RecordStart(choice) : AttemptId{};
-  const bool is_cross = choice.zone != caller.zone;
+  const bool is_cross_zone = choice.zone != caller.zone;
   const std::uint64_t number = next_number_++;
-  const base::Duration link = is_cross ? options_.cross_link : options_.own_link;
-  in_flight_.emplace(number, ModelAttempt{request, choice, id, now_, link});
+  const base::Duration one_way_delay =
+      is_cross_zone ? options_.cross_zone_delay : options_.own_zone_delay;
+  in_flight_.emplace(number, ModelAttempt{request, choice, id, now_, one_way_delay});
   ++result_.attempts;
-  result_.cross_zone += is_cross ? 1 : 0;
-  result_.to_failing += Find(choice)->fault == Fault::kFailFast ? 1 : 0;
-  At(now() + link,
-     [this, number, incarnation = choice.incarnation] { Reach(number, incarnation); });
-  At(now() + options_.attempt_timeout, [this, number] { GiveUp(number); });
+  result_.cross_zone += is_cross_zone ? 1 : 0;
+  result_.sent_to_failing += FindUpstream(choice)->fault == Fault::kFailFast ? 1 : 0;
+  Schedule(now() + one_way_delay, [this, number, incarnation = choice.incarnation] {
+    HandleRequestAtUpstream(number, incarnation);
+  });
+  Schedule(now() + options_.attempt_timeout, [this, number] { HandleTimeout(number); });
 }
 
 RouteResult QueueModel::ChooseFor(Caller& caller, const RouteRequest& route) {
@@ -165,54 +167,54 @@
   return Choice{view.id, view.node, view.node_address, view.zone, view.incarnation};
 }
 
-void QueueModel::Reach(std::uint64_t number, std::uint64_t incarnation) {
+void QueueModel::HandleRequestAtUpstream(std::uint64_t number, std::uint64_t incarnation) {
   const auto found = in_flight_.find(number);
   if (found == in_flight_.end()) {
     return;
   }
-  ModelUpstream& upstream = *Find(found->second.choice);
+  ModelUpstream& upstream = *FindUpstream(found->second.choice);
   if (upstream.view.incarnation != incarnation) {
-    Answer(number, AttemptOutcome::kLost);
+    SendResponse(number, AttemptOutcome::kLost);
   } else if (upstream.fault == Fault::kFailFast) {
-    Answer(number, AttemptOutcome::kError);
+    SendResponse(number, AttemptOutcome::kError);
   } else if (upstream.fault == Fault::kSilent) {
     return;
   } else if (upstream.view.state == UpstreamState::kLeaving ||
              upstream.waiting.size() >= options_.queue_limit) {
-    Answer(number, AttemptOutcome::kRefused);
+    SendResponse(number, AttemptOutcome::kRefused);
   } else if (upstream.running < options_.slots) {
-    Begin(upstream, number);
+    StartService(upstream, number);
   } else {
     upstream.waiting.push_back(number);
   }
 }
 
-void QueueModel::Begin(ModelUpstream& upstream, std::uint64_t number) {
+void QueueModel::StartService(ModelUpstream& upstream, std::uint64_t number) {
   ++upstream.running;
   const double mean = static_cast<double>(options_.service_time.count()) *
                       (upstream.fault == Fault::kSlow ? kSlowFactor : 1.0);
-  At(now() + DrawExponential(mean),
-     [this, &upstream, number, incarnation = upstream.view.incarnation] {
-       if (upstream.view.incarnation != incarnation) {
-         return;
-       }
-       --upstream.running;
-       Answer(number, AttemptOutcome::kServed);
-       if (!upstream.waiting.empty()) {
-         const std::uint64_t next = upstream.waiting.front();
-         upstream.waiting.pop_front();
-         Begin(upstream, next);
-       }
-     });
+  Schedule(now() + DrawExponential(mean),
+           [this, &upstream, number, incarnation = upstream.view.incarnation] {
+             if (upstream.view.incarnation != incarnation) {
+               return;
+             }
+             --upstream.running;
+             SendResponse(number, AttemptOutcome::kServed);
+             if (!upstream.waiting.empty()) {
+               const std::uint64_t next = upstream.waiting.front();
+               upstream.waiting.pop_front();
+               StartService(upstream, next);
+             }
+           });
 }
 
-void QueueModel::Answer(std::uint64_t number, AttemptOutcome outcome) {
+void QueueModel::SendResponse(std::uint64_t number, AttemptOutcome outcome) {
   const auto found = in_flight_.find(number);
   if (found == in_flight_.end()) {
     return;
   }
-  const LoadReport report = ReportOf(*Find(found->second.choice));
-  At(now() + found->second.link, [this, number, outcome, report] {
+  const LoadReport report = MakeLoadReport(*FindUpstream(found->second.choice));
+  Schedule(now() + found->second.one_way_delay, [this, number, outcome, report] {
     const auto answered = in_flight_.find(number);
     if (answered == in_flight_.end()) {
       return;
@@ -220,7 +222,7 @@
     const ModelAttempt attempt = answered->second;
     in_flight_.erase(answered);
     if (options_.policy == Policy::kRouter) {
-      AttemptResult result{outcome, now_ - attempt.begun, report};
+      AttemptResult result{outcome, now_ - attempt.started_at, report};
       if (outcome == AttemptOutcome::kLost) {
         result.report.reset();
       }
@@ -230,7 +232,7 @@
   });
 }
 
-void QueueModel::GiveUp(std::uint64_t number) {
+void QueueModel::HandleTimeout(std::uint64_t number) {
   const auto found = in_flight_.find(number);
   if (found == in_flight_.end()) {
     return;
@@ -245,7 +247,7 @@
 }
 
 void QueueModel::EndAttempt(const ModelAttempt& attempt, AttemptOutcome outcome) {
-  const base::Duration latency = now_ - attempt.request->begun;
+  const base::Duration latency = now_ - attempt.request->started_at;
   if (outcome == AttemptOutcome::kServed) {
     result_.served += latency <= options_.deadline ? 1 : 0;
     result_.latencies.push_back(latency);
@@ -257,7 +259,7 @@
   }
 }
 
-LoadReport QueueModel::ReportOf(const ModelUpstream& upstream) const {
+LoadReport QueueModel::MakeLoadReport(const ModelUpstream& upstream) const {
   const auto in_flight = static_cast<std::uint32_t>(upstream.running + upstream.waiting.size());
   const bool is_leaving = upstream.view.state == UpstreamState::kLeaving;
   if (upstream.fault == Fault::kReportsIdle) {
@@ -269,7 +271,9 @@
   return {in_flight, options_.slots, options_.service_time, 1.0, is_leaving};
 }
 
-ModelUpstream* QueueModel::Find(const Choice& choice) { return by_id_.at(choice.upstream.value); }
+ModelUpstream* QueueModel::FindUpstream(const Choice& choice) {
+  return by_id_.at(choice.upstream.value);
+}
 
 base::Duration QueueModel::DrawExponential(double mean_ns) {
   return base::Duration(
--- a/tests/routing/queue_model.h
+++ b/tests/routing/queue_model.h
@@ -11,10 +11,10 @@
 
 namespace borageloft::routing {
 
-/** How the callers of a model choose upstreams. */
+/** How the callers of the model choose upstreams. */
 enum class Policy { kRouter, kUniformRandom, kRoundRobin };
 
-/** Size and load of a model: the same number of callers and upstreams in each zone. */
+/** Size and load of the model. Each zone has the same number of callers and upstreams. */
 struct ModelOptions {
   Policy policy = Policy::kRouter;
   RoutingOptions routing;
@@ -25,17 +25,17 @@
   std::uint32_t slots = 8;
   std::size_t queue_limit = 32;
   base::Duration service_time = std::chrono::milliseconds(10);
-  base::Duration own_link = std::chrono::microseconds(100);  // One way.
-  base::Duration cross_link = std::chrono::milliseconds(3);  // One way.
+  base::Duration own_zone_delay = std::chrono::microseconds(100);  // One way.
+  base::Duration cross_zone_delay = std::chrono::milliseconds(3);  // One way.
   base::Duration attempt_timeout = std::chrono::milliseconds(150);
   base::Duration deadline = std::chrono::milliseconds(400);
   std::size_t attempts = 2;
   double rate = 8'000;  // Requests per second.
   base::Duration arrivals_end = std::chrono::seconds(10);
-  double first_zone_share = 0.34;  // Part of the requests that arrives in the first zone.
+  double first_zone_share = 0.34;  // Fraction of the requests that arrive in the first zone.
 };
 
-/** Fault of an upstream. */
+/** Fault injected into an upstream. */
 enum class Fault { kNone, kFailFast, kSilent, kSlow, kReportsIdle, kReportsBusy };
 
 struct ModelUpstream {
@@ -50,7 +50,7 @@
   std::uint64_t served = 0;
   std::uint64_t attempts = 0;
   std::uint64_t cross_zone = 0;
-  std::uint64_t to_failing = 0;  // Attempts sent while the upstream was failing fast.
+  std::uint64_t sent_to_failing = 0;  // Attempts sent to an upstream that was failing fast.
   std::vector<base::Duration> latencies;
 
   double Goodput() const { return static_cast<double>(served) / static_cast<double>(offered); }
@@ -60,15 +60,18 @@
   double P99Milliseconds();
 };
 
-/** Queue model in virtual time: callers, links, upstreams with slots and a bounded queue. */
+/**
+ * Discrete-event simulation of callers, network delays, and upstreams with slots and a bounded
+ * queue.
+ */
 class QueueModel {
  public:
   explicit QueueModel(const ModelOptions& options);
 
-  /** Runs @p action at a time from the start. */
-  void At(base::Duration time, std::function<void()> action);
+  /** Schedules @p action at @p time from the start of the simulation. */
+  void Schedule(base::Duration time, std::function<void()> action);
 
-  /** Runs events up to a time. @return Number of events. */
+  /** Runs all events up to @p time. @return Number of events. */
   std::uint64_t RunUntil(base::Duration time);
 
   ModelUpstream& upstream(std::size_t index) { return *upstreams_.at(index); }
@@ -80,10 +83,10 @@
   void BeginLeaving(std::size_t index);
   void Restart(std::size_t index);
 
-  /** Sends the list of members to each caller after a random delay of up to 2 s. */
+  /** Delivers the list of members to each caller after a random delay of up to 2 s. */
   void PublishMembers();
 
-  /** Checks what must hold at each step; throws std::logic_error. */
+  /** Checks the invariants at each choice; throws std::logic_error if one is violated. */
   std::function<void(const Router& router, const std::vector<UpstreamView>& known,
                      const RouteRequest& request, const RouteResult& result)>
       check;
@@ -105,27 +108,27 @@
   };
   struct Request {
     std::size_t caller;
-    base::TimePoint begun;
+    base::TimePoint started_at;
     RouteRequest route;
   };
   struct ModelAttempt {
     std::shared_ptr<Request> request;
     Choice choice;
     AttemptId id;
-    base::TimePoint begun;
-    base::Duration link;
+    base::TimePoint started_at;
+    base::Duration one_way_delay;
   };
 
-  void Arrive();
+  void HandleArrival();
   void Send(const std::shared_ptr<Request>& request);
   RouteResult ChooseFor(Caller& caller, const RouteRequest& route);
-  void Reach(std::uint64_t number, std::uint64_t incarnation);
-  void Begin(ModelUpstream& upstream, std::uint64_t number);
-  void Answer(std::uint64_t number, AttemptOutcome outcome);
-  void GiveUp(std::uint64_t number);
+  void HandleRequestAtUpstream(std::uint64_t number, std::uint64_t incarnation);
+  void StartService(ModelUpstream& upstream, std::uint64_t number);
+  void SendResponse(std::uint64_t number, AttemptOutcome outcome);
+  void HandleTimeout(std::uint64_t number);
   void EndAttempt(const ModelAttempt& attempt, AttemptOutcome outcome);
-  LoadReport ReportOf(const ModelUpstream& upstream) const;
-  ModelUpstream* Find(const Choice& choice);
+  LoadReport MakeLoadReport(const ModelUpstream& upstream) const;
+  ModelUpstream* FindUpstream(const Choice& choice);
   base::Duration DrawExponential(double mean_ns);
 
   ModelOptions options_;
--- a/tests/routing/router_test.cc
+++ b/tests/routing/router_test.cc
@@ -14,7 +14,7 @@
 
 class RouterTest : public ::testing::Test {
  protected:
-  /** Members are a0 to a4 and b0 to b4; this node is in zone a. */
+  /** The members are a0 to a4 and b0 to b4; this node is in zone a. */
   void SetUp() override {
     for (const std::string zone : {"a", "b"}) {
       for (int i = 0; i < 5; ++i) {
@@ -63,7 +63,7 @@
   std::vector<UpstreamView> members_;
 };
 
-// Guards against a caller that cannot tell an empty service from one whose upstreams were tried.
+// Guards against confusing a service without upstreams with one whose upstreams were all tried.
 TEST_F(RouterTest, NamesTheReasonWithoutChoice) {
   router_.UpdateMembers({}, now_);
   EXPECT_EQ(Failure(), RouteFailure::kNoMembers);
@@ -80,8 +80,8 @@
   EXPECT_EQ(Failure(), RouteFailure::kAllLeaving);
 }
 
-// Guards against a retry in a zone that fails although another zone has upstreams, and against a
-// refusal when only the tried zone is left.
+// Guards against a retry in a failed zone while another zone has upstreams, and against a failure
+// when only the tried zones are left.
 TEST_F(RouterTest, AvoidsTriedUpstreamsAndZones) {
   RouteRequest request;
   request.tried = {{"a0"}, {"b0"}};
@@ -95,7 +95,8 @@
   EXPECT_TRUE(Choose(request).has_value());
 }
 
-// Guards against cross-zone requests while the own zone is idle, and against none when it is full.
+// Guards against cross-zone requests while the node's own zone is idle, and against keeping all
+// requests in an overloaded zone.
 TEST_F(RouterTest, LeavesItsZoneOnlyUnderLoad) {
   for (int i = 0; i < 200; ++i) {
     EXPECT_FALSE(Choose()->is_cross_zone);
@@ -111,24 +112,24 @@
   EXPECT_EQ(router_.cross_zone_requests(), 1U);
 }
 
-// Guards against an upstream that attracts requests because its errors are fast.
-TEST_F(RouterTest, FastErrorsAttractNothing) {
+// Guards against an upstream that attracts requests because it fails fast.
+TEST_F(RouterTest, FastErrorsDoNotAttractRequests) {
   for (int i = 0; i < 3; ++i) {
     for (const char* id : {"a1", "a2", "a3", "a4"}) {
       Finish(id, AttemptOutcome::kServed, milliseconds(20));
     }
     Finish("a0", AttemptOutcome::kError, std::chrono::microseconds(50));
   }
-  EXPECT_EQ(StatusOf("a0").condition, Condition::kNormal);
+  EXPECT_EQ(StatusOf("a0").ejection_state, EjectionState::kNormal);
   EXPECT_EQ(CountChoices(500)["a0"], 0);
 }
 
-// Guards against a silent upstream that keeps getting requests.
-TEST_F(RouterTest, TimeoutsSetAside) {
+// Guards against an unresponsive upstream that keeps receiving requests.
+TEST_F(RouterTest, TimeoutsEject) {
   for (int i = 0; i < 5; ++i) {
     router_.RecordTimeout(router_.RecordStart(ChoiceOf("a0")), milliseconds(800), now_);
   }
-  EXPECT_EQ(StatusOf("a0").condition, Condition::kSetAside);
+  EXPECT_EQ(StatusOf("a0").ejection_state, EjectionState::kEjected);
   EXPECT_EQ(CountChoices(500)["a0"], 0);
   now_ += seconds(2);
   EXPECT_GT(CountChoices(500)["a0"], 0);
@@ -139,7 +140,7 @@
   }
 }
 
-// Guards against several requests at once to an upstream that is only being tested.
+// Guards against concurrent requests to an upstream that is being probed.
 TEST_F(RouterTest, SendsOneProbeAtATime) {
   for (int i = 0; i < 5; ++i) {
     Finish("a0", AttemptOutcome::kLost, milliseconds(1));
@@ -155,7 +156,7 @@
   EXPECT_GT(CountChoices(500)["a0"], 0);
 }
 
-// Guards against a late answer that ends its attempt twice.
+// Guards against a late response that ends its attempt a second time.
 TEST_F(RouterTest, LateAnswerAfterTimeoutIsIgnored) {
   const AttemptId attempt = router_.RecordStart(ChoiceOf("a0"));
   router_.RecordTimeout(attempt, milliseconds(100), now_);
@@ -164,8 +165,8 @@
   EXPECT_EQ(router_.attempts_in_flight(), 0U);
 }
 
-// Guards against attempts of an earlier life that change the counts of the restarted upstream, and
-// against an old list that reverts a restart.
+// Guards against attempts from before a restart that change the counts of the restarted upstream,
+// and against a stale list of members that reverts the restart.
 TEST_F(RouterTest, RestartSeparatesAttempts) {
   const AttemptId old_attempt = router_.RecordStart(ChoiceOf("a0"));
   const auto old_members = members_;
@@ -181,7 +182,8 @@
   EXPECT_EQ(StatusOf("a0").in_flight, 0U);
 }
 
-// Guards against new work for an upstream that reported its leaving before membership did.
+// Guards against requests to an upstream whose load report says that it is leaving, while
+// membership does not say so yet.
 TEST_F(RouterTest, LeavingReportEndsChoices) {
   LoadReport report;
   report.is_leaving = true;
@@ -193,7 +195,7 @@
   EXPECT_GT(CountChoices(500)["a0"], 0);
 }
 
-// Guards against attempts whose upstream left before they ended.
+// Guards against errors when an upstream leaves before its attempts end.
 TEST_F(RouterTest, AttemptOutlivesItsUpstream) {
   const Choice choice = ChoiceOf("a0");
   const AttemptId attempt = router_.RecordStart(choice);
@@ -204,13 +206,13 @@
   EXPECT_EQ(router_.attempts_in_flight(), 0U);
 }
 
-// Guards against options that would break an invariant later.
+// Guards against accepting options that violate an invariant later.
 TEST(RoutingOptionsTest, RefusesBadOptions) {
   RoutingOptions options;
   options.choices = 0;
   EXPECT_THROW(Router("n", "a", options), Error);
   options = {};
-  options.outlier.highest_share = 1.5;
+  options.outlier.max_ejected_share = 1.5;
   EXPECT_THROW(options.Check(), Error);
   options = {};
   options.subset.size = 0;
--- a/tests/routing/routing_model_test.cc
+++ b/tests/routing/routing_model_test.cc
@@ -13,39 +13,40 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-void RequireThat(bool holds, const char* what) {
+void Require(bool holds, const char* what) {
   if (!holds) {
     throw std::logic_error(what);
   }
 }
 
-/** What must hold at each choice, whatever the faults. */
+/** Checks the invariants of the router that hold under any faults. */
 void CheckInvariants(const Router& router, base::TimePoint now) {
   std::size_t in_flight = 0;
   const auto status = router.Status(now);
   for (const UpstreamStatus& upstream : status) {
-    RequireThat(upstream.view.state == UpstreamState::kServing, "a leaving upstream in the subset");
+    Require(upstream.view.state == UpstreamState::kServing,
+            "the subset contains a leaving upstream");
     in_flight += upstream.in_flight;
   }
-  RequireThat(in_flight <= router.attempts_in_flight(), "more in flight than attempts");
-  RequireThat(router.set_aside() * 10 <= status.size() * 3, "more than 30% set aside");
-  RequireThat(status.size() <= 24, "more members than the subset's size");
+  Require(in_flight <= router.attempts_in_flight(), "more requests than attempts in flight");
+  Require(router.ejected_count() * 10 <= status.size() * 3, "more than 30% of the subset ejected");
+  Require(status.size() <= 24, "the subset exceeds its size");
 }
 
-/** What must hold for each choice. */
+/** Checks the invariants of a choice. */
 void CheckChoice(const Choice& choice, const std::vector<UpstreamView>& known,
                  const RouteRequest& request) {
   const auto is_tried = std::find(request.tried.begin(), request.tried.end(), choice.upstream);
-  RequireThat(is_tried == request.tried.end(), "an upstream that was tried already");
+  Require(is_tried == request.tried.end(), "the chosen upstream was already tried");
   const auto view = std::find_if(known.begin(), known.end(), [&](const UpstreamView& member) {
     return member.id == choice.upstream;
   });
-  RequireThat(view != known.end(), "an upstream that is no member");
-  RequireThat(view->state == UpstreamState::kServing, "a leaving upstream chosen");
+  Require(view != known.end(), "the chosen upstream is not a member");
+  Require(view->state == UpstreamState::kServing, "the chosen upstream is leaving");
 }
 
-/** Applies one random fault or repair. */
-void Disturb(QueueModel& model, const base::Random& random) {
+/** Applies a random membership change, restart or fault. */
+void InjectRandomChange(QueueModel& model, const base::Random& random) {
   const std::size_t index = base::DrawBelow(random, model.upstream_count());
   switch (base::DrawBelow(random, 6)) {
     case 0:
@@ -81,14 +82,14 @@
   const base::Random random = base::SeededRandom(base::Hash("faults", seed));
   std::uint64_t steps = 0;
   for (int round = 1; round <= 100; ++round) {
-    Disturb(model, random);
+    InjectRandomChange(model, random);
     steps += model.RunUntil(milliseconds(100) * round);
   }
   return steps;
 }
 
-// Guards against a sequence of joins, leaves, restarts and faults that breaks a routing invariant:
-// negative counts, more than 30% set aside, a leaving upstream chosen.
+// Guards against a sequence of joins, leaves, restarts and faults that violates an invariant:
+// negative counts, more than 30% of the subset ejected, a leaving upstream chosen.
 TEST(RoutingModelTest, InvariantsHoldUnderRandomFaults) {
   base::ReplaceVerifyHandler(
       [](const char* expression, const char*, int) { throw std::logic_error(expression); });
@@ -113,13 +114,13 @@
   options.first_zone_share = scenario == Scenario::kSkew ? 0.6 : 0.34;
   QueueModel model(options);
   if (scenario == Scenario::kFaults) {
-    model.At(seconds(1), [&] {
+    model.Schedule(seconds(1), [&] {
       model.upstream(0).fault = Fault::kFailFast;
       model.upstream(7).fault = Fault::kSilent;
       model.upstream(13).fault = Fault::kSlow;
       model.upstream(14).fault = Fault::kReportsIdle;
     });
-    model.At(seconds(7), [&] {
+    model.Schedule(seconds(7), [&] {
       for (std::size_t i = 0; i < model.upstream_count(); ++i) {
         model.upstream(i).fault = Fault::kNone;
       }
@@ -134,29 +135,29 @@
       "{:<28} goodput {:.4f}  p99 {:6.1f} ms  to failing {:.5f}  cross-zone {:.3f}  "
       "attempts/request "
       "{:.3f}\n",
-      name, result.Goodput(), result.P99Milliseconds(), result.ShareOf(result.to_failing),
+      name, result.Goodput(), result.P99Milliseconds(), result.ShareOf(result.sent_to_failing),
       result.ShareOf(result.cross_zone),
       static_cast<double>(result.attempts) / static_cast<double>(result.offered));
 }
 
-// Guards against routing that serves less than choosing at random would, or that a fast failing
-// upstream attracts. All variants see the same load, seed and faults.
+// Guards against routing that serves fewer requests than random or round-robin choice, or prefers
+// upstreams that fail fast. All policies run with the same load, seed and faults.
 TEST(RoutingModelTest, ServesMoreThanBlindChoicesUnderFaults) {
   ModelResult routed = RunScenario(Scenario::kFaults, Policy::kRouter, {});
   ModelResult random = RunScenario(Scenario::kFaults, Policy::kUniformRandom, {});
-  ModelResult robin = RunScenario(Scenario::kFaults, Policy::kRoundRobin, {});
+  ModelResult round_robin = RunScenario(Scenario::kFaults, Policy::kRoundRobin, {});
   Print("faults: router", routed);
   Print("faults: uniform random", random);
-  Print("faults: round robin", robin);
+  Print("faults: round robin", round_robin);
   EXPECT_GT(routed.Goodput(), random.Goodput());
-  EXPECT_GT(routed.Goodput(), robin.Goodput());
+  EXPECT_GT(routed.Goodput(), round_robin.Goodput());
   EXPECT_LT(routed.P99Milliseconds(), random.P99Milliseconds());
-  EXPECT_LT(routed.P99Milliseconds(), robin.P99Milliseconds());
-  EXPECT_LT(routed.ShareOf(routed.to_failing), 0.2 * random.ShareOf(random.to_failing));
+  EXPECT_LT(routed.P99Milliseconds(), round_robin.P99Milliseconds());
+  EXPECT_LT(routed.ShareOf(routed.sent_to_failing), 0.2 * random.ShareOf(random.sent_to_failing));
   EXPECT_LT(routed.ShareOf(routed.cross_zone), 0.5 * random.ShareOf(random.cross_zone));
 }
 
-// Guards against a zone that stays overloaded while others have room.
+// Guards against a zone that stays overloaded while others have spare capacity.
 TEST(RoutingModelTest, SpillsOnlyWhatItsZoneCannotServe) {
   ModelResult routed = RunScenario(Scenario::kSkew, Policy::kRouter, {});
   ModelResult random = RunScenario(Scenario::kSkew, Policy::kUniformRandom, {});
