--- a/libraries/directory/directory.h
+++ b/libraries/directory/directory.h
@@ -1,7 +1,7 @@
 #ifndef BORAGELOFT_DIRECTORY_DIRECTORY_H_
 #define BORAGELOFT_DIRECTORY_DIRECTORY_H_
 
-/** @file Public header of the directory library: which instances there are, and at which nodes. */
+/** @file Public header of the directory library, which tracks the instances and their nodes. */
 
 #include "libraries/directory/directory_view.h"
 #include "libraries/directory/local_instance.h"
--- a/libraries/directory/directory_view.h
+++ b/libraries/directory/directory_view.h
@@ -11,42 +11,46 @@
 namespace borageloft::directory {
 
 /**
- * All instances as one node knows them, merged from several control hosts. A node that any of them
- * still lists is kept: a control host that is cut off from a node would otherwise take it away from
- * everybody. Records are hints; the node beside an instance decides. Not thread-safe.
+ * All instances known to a node, merged from the registries of several control hosts. A record is
+ * kept while any control host lists it; otherwise a control host that is cut off from a node would
+ * remove it for all others. Records are hints: the node on the host of an instance decides
+ * whether it takes a request. Not thread-safe.
  */
 class DirectoryView {
  public:
-  /** What a node asks a control host for. */
+  /** Position in the changes of a registry, from which a node requests further changes. */
   struct Position {
     std::uint64_t epoch = 0;
     std::uint64_t revision = 0;
   };
 
-  /** @return Position in the registry of @p control_host. */
+  /** @return Last known position in the registry of @p control_host. */
   Position PositionAt(const std::string& control_host) const;
 
-  /** Takes an answer of @p control_host. @return Whether any record changed. */
+  /** Applies a sync response of @p control_host. @return Whether any record changed. */
   bool Apply(const std::string& control_host, const SyncAnswer& answer);
 
-  /** Drops what @p control_host said, because it has not answered for too long. */
+  /**
+   * Removes the records of @p control_host, which has not responded for too long.
+   * @return Whether any record changed.
+   */
   bool Forget(const std::string& control_host);
 
-  /** @return Records with an instance, by node. */
+  /** @return Records that have an instance, by node. */
   const std::map<std::string, InstanceRecord>& records() const { return merged_; }
 
  private:
   struct Source {
     Position position;
     std::map<std::string, InstanceRecord> records;
-    std::map<std::string, std::uint64_t> received;  // Order of arrival of each record.
+    std::map<std::string, std::uint64_t> arrival_order;  // Order in which the records arrived.
   };
 
   bool Merge();
 
   std::map<std::string, Source> sources_;
   std::map<std::string, InstanceRecord> merged_;
-  std::uint64_t arrivals_ = 0;
+  std::uint64_t last_arrival_order_ = 0;
 };
 
 }  // namespace borageloft::directory
--- a/libraries/directory/local_instance.cc
+++ b/libraries/directory/local_instance.cc
@@ -12,24 +12,25 @@
   if (heartbeat.service != service_) {
     return HeartbeatOutcome::kOtherService;
   }
-  const bool is_same_life =
-      heartbeat.born == newest_birth_ && heartbeat.instance == heartbeat_.instance;
-  if (heartbeat.born < newest_birth_ ||
-      (is_same_life && heartbeat.sequence <= heartbeat_.sequence)) {
+  const bool is_same_process =
+      heartbeat.born == newest_start_ && heartbeat.instance == heartbeat_.instance;
+  if (heartbeat.born < newest_start_ ||
+      (is_same_process && heartbeat.sequence <= heartbeat_.sequence)) {
     return HeartbeatOutcome::kLate;
   }
-  const bool has_left = leaving_since_.has_value() && is_same_life;
-  const bool is_new = !is_same_life || !is_known();
+  const bool has_left = leaving_since_.has_value() && is_same_process;
+  const bool is_new = !is_same_process || !is_known();
   heartbeat_ = heartbeat;
-  newest_birth_ = heartbeat.born;
+  newest_start_ = heartbeat.born;
   heard_at_ = now;
   is_suspect_ = false;
-  if (!is_same_life) {
+  if (!is_same_process) {
     leaving_since_.reset();
   }
-  // A life that said it leaves does not come back; a serving heartbeat behind it changes nothing.
+  // A process that is leaving never serves again; later serving heartbeats do not change that.
   if (heartbeat.state == InstanceState::kLeaving && !has_left) {
-    // One that is first heard leaving may have been told so by an earlier process, long ago.
+    // An instance that is leaving when first heard may have told an earlier process of this node so
+    // long ago.
     leaving_since_ = is_new ? base::TimePoint{} : now;
   }
   return HeartbeatOutcome::kTaken;
@@ -63,7 +64,7 @@
   if (!is_known() || now - heard_at_ < silence_limit_) {
     return false;
   }
-  // The birth is kept, so that a late heartbeat of this life's predecessors stays late.
+  // The start time is kept, so that delayed heartbeats of earlier processes are still ignored.
   heartbeat_.instance.clear();
   leaving_since_.reset();
   is_suspect_ = false;
--- a/libraries/directory/local_instance.h
+++ b/libraries/directory/local_instance.h
@@ -9,77 +9,81 @@
 
 namespace borageloft::directory {
 
-/** What an instance says of itself. */
+/** Heartbeat that an instance sends about itself. */
 struct Heartbeat {
   std::string instance;
   std::string service;
-  std::uint64_t born = 0;      ///< Start of this life, in Unix milliseconds of its own clock.
-  std::uint64_t sequence = 0;  ///< Rises with each message of one life.
+  std::uint64_t born = 0;      ///< Start of the process, in Unix milliseconds of its own clock.
+  std::uint64_t sequence = 0;  ///< Increases with each message of the same process.
   InstanceState state = InstanceState::kServing;
   std::uint32_t slots = 0;
-  base::Duration warm_up_left{0};
+  base::Duration warm_up_left{0};  ///< Time for which the instance remains slow after its start.
 };
 
-/** How a heartbeat was taken. */
+/** Result of handling a heartbeat. */
 enum class HeartbeatOutcome {
-  kTaken,         // It renewed or changed what is known.
-  kLate,          // It is older than what is known; nothing changed.
-  kOtherService,  // It is of a service that is not the one of this host.
+  kTaken,         // The heartbeat renewed or changed the known state.
+  kLate,          // The heartbeat is older than the known state and was ignored.
+  kOtherService,  // The heartbeat is of a service other than the one of this host and was ignored.
 };
 
 /**
- * The instance on this host, by its own heartbeats. Lives are ordered by their birth and messages
- * within a life by their sequence, so that a late message of an ended life revives nothing.
- * Not thread-safe.
+ * State of the instance on this host, as known from its heartbeats. Processes are ordered by their
+ * start time, and the messages of a process by their sequence number, so that a delayed message of
+ * an ended process has no effect. Not thread-safe.
  */
 class LocalInstance {
  public:
   /**
-   * @param service Service of this host; heartbeats of another one are refused.
-   * @param silence_limit Time without a heartbeat after which the instance counts as gone.
+   * @param service Service of this host; heartbeats of other services are ignored.
+   * @param silence_limit Time without a heartbeat after which the instance is considered gone.
    */
   LocalInstance(std::string service, base::Duration silence_limit);
 
+  /** Updates the state from a heartbeat, unless it is late or of another service. */
   HeartbeatOutcome HandleHeartbeat(const Heartbeat& heartbeat, base::TimePoint now);
 
   /**
-   * Takes an instance that was found at the upstream's address and has said nothing itself since
-   * this process started. Any heartbeat replaces what is taken here.
-   * @return Whether it was taken; false once an instance was heard.
+   * Adopts an instance that was discovered at the upstream's address, before any heartbeat was
+   * received. The first heartbeat replaces it.
+   * @return Whether it was adopted; false if an instance was heard or adopted before, or if
+   *     @p instance is empty.
    */
   bool Adopt(const std::string& instance, std::uint32_t slots, base::TimePoint now);
 
-  /** The instance @p instance said that it leaves. @return Whether it is the one known. */
+  /** Handles the announcement that @p instance leaves. @return Whether it is the known instance. */
   bool HandleLeave(const std::string& instance, base::TimePoint now);
 
-  /** Forgets an instance that has been silent for too long. @return Whether it did. */
+  /** Removes the instance if it has been silent for too long. @return Whether it was removed. */
   bool ExpireIfSilent(base::TimePoint now);
 
-  /** The instance was found to be another one or unreachable; it counts as gone until it is heard
-   * again. */
+  /**
+   * Marks the instance as gone until its next heartbeat, because it was unreachable or another
+   * instance answered in its place.
+   */
   void Suspect() { is_suspect_ = true; }
 
   /** @return Id of the instance, or empty if there is none. */
   const std::string& instance() const { return heartbeat_.instance; }
   const std::string& service() const { return service_; }
   std::uint32_t slots() const { return heartbeat_.slots; }
-  /** @return Whether an instance was heard or found since the start. */
+  /** @return Whether an instance was heard or adopted since this process started. */
   bool has_been_heard() const { return heard_at_ != base::TimePoint{}; }
   bool is_known() const { return !heartbeat_.instance.empty(); }
   bool is_suspect() const { return is_suspect_; }
   /**
-   * @return When the instance was first known to leave, or nothing. The clock's origin if it left
-   *     before this process knew it.
+   * @return Time at which the instance was first known to leave, or nothing if it is not leaving.
+   *     The clock's epoch if it was already leaving when this process first heard from it.
    */
   std::optional<base::TimePoint> leaving_since() const { return leaving_since_; }
-  /** @return Time for which the instance remains slow. */
+  /** @return Time for which the instance remains slow after its start. */
   base::Duration WarmUpLeft(base::TimePoint now) const;
 
  private:
   std::string service_;
   base::Duration silence_limit_;
   Heartbeat heartbeat_;
-  std::uint64_t newest_birth_ = 0;
+  std::uint64_t newest_start_ = 0;
   base::TimePoint heard_at_{};
   bool is_suspect_ = false;
   std::optional<base::TimePoint> leaving_since_;
--- a/libraries/directory/messages.cc
+++ b/libraries/directory/messages.cc
@@ -9,10 +9,11 @@
 
 namespace {
 
-// A declaration of several hundred routes and a registry of 6,400 nodes both fit well within.
-constexpr std::size_t kMaximumBytes = std::size_t{16} << 20U;
-constexpr std::size_t kMaximumElements = 100'000;
-constexpr std::size_t kMaximumDepth = 6;
+// A declaration of several hundred routes and a registry of 6,400 nodes stay well below these
+// limits.
+constexpr std::size_t kMaxMessageBytes = std::size_t{16} << 20U;
+constexpr std::size_t kMaxElements = 100'000;
+constexpr std::size_t kMaxDepth = 6;
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
@@ -32,7 +33,7 @@
   packer.pack(record.slowdown_steps);
 }
 
-/** Takes the elements of an array in turn. */
+/** Reads the elements of an array in order. */
 class Reader {
  public:
   explicit Reader(const msgpack::object& object) {
@@ -44,7 +45,7 @@
 
   const msgpack::object& Take() {
     if (next_ >= array_.size) {
-      throw DirectoryError("an array has too few elements");
+      throw DirectoryError("array has too few elements");
     }
     return array_.ptr[next_++];
   }
@@ -80,7 +81,7 @@
   std::uint8_t calls = 0;
   reader.Take(calls);
   if (calls > static_cast<std::uint8_t>(CallUse::kSome)) {
-    throw DirectoryError(fmt::format("unknown use of calls {}", calls));
+    throw DirectoryError(fmt::format("unknown call use {}", calls));
   }
   record.calls = static_cast<CallUse>(calls);
   reader.Take(record.slowdown_steps);
@@ -156,11 +157,11 @@
 }
 
 Message Decode(std::string_view bytes) {
-  if (bytes.size() > kMaximumBytes) {
-    throw DirectoryError("a message is too long");
+  if (bytes.size() > kMaxMessageBytes) {
+    throw DirectoryError("message is too long");
   }
   try {
-    const msgpack::unpack_limit limit(kMaximumElements, 0, kMaximumBytes, 0, 0, kMaximumDepth);
+    const msgpack::unpack_limit limit(kMaxElements, 0, kMaxMessageBytes, 0, 0, kMaxDepth);
     const msgpack::object_handle handle =
         msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
     Reader reader(handle.get());
@@ -176,7 +177,7 @@
   } catch (const DirectoryError&) {
     throw;
   } catch (const std::exception& error) {
-    throw DirectoryError(std::string("cannot read a message: ") + error.what());
+    throw DirectoryError(std::string("malformed message: ") + error.what());
   }
 }
 
--- a/libraries/directory/messages.h
+++ b/libraries/directory/messages.h
@@ -11,13 +11,13 @@
 
 namespace borageloft::directory {
 
-/** A directory message cannot be read. */
+/** A directory message cannot be decoded. */
 class DirectoryError : public base::Error {
  public:
   using Error::Error;
 };
 
-/** Whether an instance takes work. */
+/** Whether an instance accepts new requests. */
 enum class InstanceState : std::uint8_t {
   kServing = 0,
   kLeaving = 1,
@@ -30,57 +30,57 @@
   kSome = 2,
 };
 
-/** What a node says of the instance beside it. */
+/** Record of a node about the instance on its host. */
 struct InstanceRecord {
   std::string node;  ///< Address at which other nodes reach the node; empty if the record is unset.
   std::string zone;
-  std::uint64_t epoch = 0;     ///< Life of the node's process; differs after each start.
-  std::uint64_t revision = 0;  ///< Rises with each change within one life.
+  std::uint64_t epoch = 0;     ///< Identifies the node's process; differs after each start.
+  std::uint64_t revision = 0;  ///< Increases with each change within an epoch.
   std::string service;         ///< Empty while the node has no instance.
   std::string instance;
   std::uint32_t slots = 0;
   InstanceState state = InstanceState::kServing;
   std::uint32_t warm_up_left_ms = 0;  ///< Time for which the instance remains slow after its start.
-  /** Calls that a call of another upstream makes from here to services without an instance in this
-   * zone. */
+  /** Calls to services without an instance in this zone that a call from another upstream makes
+   * when this instance runs it. */
   std::uint32_t remote_calls = 0;
   CallUse calls = CallUse::kUnknown;
-  /** How much slower than usual the instance has become, in powers of two. */
+  /** Binary logarithm of the slowdown of the instance relative to its usual speed. */
   std::uint32_t slowdown_steps = 0;
 
   friend bool operator==(const InstanceRecord&, const InstanceRecord&) = default;
 };
 
-/** Question of a node to a control host, which also renews the node's own record there. */
+/** Request of a node to a control host. It also renews the node's own record in the registry. */
 struct SyncRequest {
   InstanceRecord record;
-  std::uint64_t known_version = 0;   ///< Declaration that the node holds.
-  std::uint64_t registry_epoch = 0;  ///< Life of the control host that `registry_revision` is of.
+  std::uint64_t known_version = 0;   ///< Version of the declaration that the node holds.
+  std::uint64_t registry_epoch = 0;  ///< Epoch of the registry that `registry_revision` belongs to.
   std::uint64_t registry_revision = 0;
 };
 
-/** Answer of a control host, also sent unasked when a new declaration is in force. */
+/** Response of a control host, also sent unsolicited when a new declaration is in force. */
 struct SyncAnswer {
   bool is_current = false;  ///< Whether the control host is in contact with the leader.
   std::uint64_t version = 0;
-  std::string declaration;  ///< Empty if the node holds this version already.
+  std::string declaration;  ///< Empty if the node already holds this version.
   std::vector<std::string> control_hosts;
   /** Whether every node has had time to renew its record since the control host started. */
   bool is_complete = false;
   std::uint64_t registry_epoch = 0;
-  std::uint64_t base_revision = 0;  ///< Changes after this one follow; 0 for the whole registry.
+  std::uint64_t base_revision = 0;  ///< Base of the changes; 0 if the whole registry follows.
   std::uint64_t registry_revision = 0;
   std::vector<InstanceRecord> records;
-  std::vector<std::string> removed;  ///< Nodes without a record.
+  std::vector<std::string> removed;  ///< Nodes whose records were removed.
 };
 
 /** Any directory message. */
 using Message = std::variant<SyncRequest, SyncAnswer>;
 
-/** @return The bytes of @p message. */
+/** @return @p message in its wire format. */
 std::string Encode(const Message& message);
 
-/** @throws DirectoryError if the bytes are no message. */
+/** @throws DirectoryError If @p bytes are not a valid message. */
 Message Decode(std::string_view bytes);
 
 }  // namespace borageloft::directory
--- a/libraries/directory/registry.cc
+++ b/libraries/directory/registry.cc
@@ -8,21 +8,21 @@
 bool Registry::Renew(const InstanceRecord& record, base::TimePoint now) {
   Entry& entry = entries_[record.node];
   entry.renewed_at = now;
-  const bool is_same_life = entry.changed_in != 0 && entry.record.epoch == record.epoch;
-  if (is_same_life && record.revision <= entry.record.revision) {
+  const bool is_same_process = entry.changed_at_revision != 0 && entry.record.epoch == record.epoch;
+  if (is_same_process && record.revision <= entry.record.revision) {
     return false;
   }
-  // Another life is taken whatever its number: the connection it came over is the newest one, and
-  // clocks that were set back must not keep a restarted node out.
+  // A record with another epoch is accepted whether that is higher or lower: it arrived over the
+  // newest connection, and a clock that was set back must not lock out a restarted node.
   entry.record = record;
-  entry.changed_in = ++revision_;
+  entry.changed_at_revision = ++revision_;
   return true;
 }
 
 void Registry::Expire(base::TimePoint now) {
   if (!is_complete_ && now >= complete_at_) {
     is_complete_ = true;
-    // A new epoch makes every node ask for the whole registry once, which drops what it kept.
+    // A new epoch makes each node request the whole registry once, which discards its old records.
     ++epoch_;
   }
   for (auto entry = entries_.begin(); entry != entries_.end();) {
@@ -40,22 +40,22 @@
     removals_.emplace(++revision_, entry->first);
     entry = entries_.erase(entry);
   }
-  while (removals_.size() > kRemovalsKept) {
-    oldest_kept_ = removals_.begin()->first;
+  while (removals_.size() > kMaxRemovals) {
+    oldest_kept_revision_ = removals_.begin()->first;
     removals_.erase(removals_.begin());
   }
 }
 
 void Registry::FillAnswer(const SyncRequest& request, SyncAnswer& answer) const {
   const bool is_delta = request.registry_epoch == epoch_ &&
-                        request.registry_revision >= oldest_kept_ &&
+                        request.registry_revision >= oldest_kept_revision_ &&
                         request.registry_revision <= revision_;
   answer.is_complete = is_complete_;
   answer.registry_epoch = epoch_;
   answer.registry_revision = revision_;
   answer.base_revision = is_delta ? request.registry_revision : 0;
   for (const auto& [node, entry] : entries_) {
-    if (entry.changed_in > answer.base_revision) {
+    if (entry.changed_at_revision > answer.base_revision) {
       answer.records.push_back(entry.record);
     }
   }
--- a/tests/directory/directory_test.cc
+++ b/tests/directory/directory_test.cc
@@ -10,8 +10,8 @@
 
 class LocalInstanceTest : public ::testing::Test {
  protected:
-  HeartbeatOutcome Beat(const std::string& id, std::uint64_t born, std::uint64_t sequence,
-                        InstanceState state = InstanceState::kServing) {
+  HeartbeatOutcome SendHeartbeat(const std::string& id, std::uint64_t born, std::uint64_t sequence,
+                                 InstanceState state = InstanceState::kServing) {
     return instance_.HandleHeartbeat({id, "parts", born, sequence, state, 8, milliseconds(500)},
                                      now_);
   }
@@ -20,36 +20,36 @@
   LocalInstance instance_{"parts", seconds(4)};
 };
 
-// Guards against a late heartbeat of an ended life that replaces the present one.
-TEST_F(LocalInstanceTest, OrdersLivesByBirthAndMessagesBySequence) {
-  EXPECT_EQ(Beat("i-1", 10, 1), HeartbeatOutcome::kTaken);
-  EXPECT_EQ(Beat("i-1", 10, 1), HeartbeatOutcome::kLate);
-  EXPECT_EQ(Beat("i-2", 20, 1), HeartbeatOutcome::kTaken);
-  EXPECT_EQ(Beat("i-1", 10, 7), HeartbeatOutcome::kLate);
+// Guards against a delayed heartbeat of an ended process that replaces the current one.
+TEST_F(LocalInstanceTest, OrdersProcessesByStartAndMessagesBySequence) {
+  EXPECT_EQ(SendHeartbeat("i-1", 10, 1), HeartbeatOutcome::kTaken);
+  EXPECT_EQ(SendHeartbeat("i-1", 10, 1), HeartbeatOutcome::kLate);
+  EXPECT_EQ(SendHeartbeat("i-2", 20, 1), HeartbeatOutcome::kTaken);
+  EXPECT_EQ(SendHeartbeat("i-1", 10, 7), HeartbeatOutcome::kLate);
   EXPECT_EQ(instance_.instance(), "i-2");
-  // The same id may come back in a new life, with its count started anew.
-  EXPECT_EQ(Beat("i-2", 30, 1), HeartbeatOutcome::kTaken);
-  EXPECT_EQ(Beat("i-2", 20, 9), HeartbeatOutcome::kLate);
+  // A new process may reuse the id and starts its sequence anew.
+  EXPECT_EQ(SendHeartbeat("i-2", 30, 1), HeartbeatOutcome::kTaken);
+  EXPECT_EQ(SendHeartbeat("i-2", 20, 9), HeartbeatOutcome::kLate);
 }
 
-// Guards against a leave that a serving heartbeat, sent before it, takes back.
-TEST_F(LocalInstanceTest, ALeavingLifeStaysLeaving) {
-  Beat("i-1", 10, 1);
-  Beat("i-1", 10, 2, InstanceState::kLeaving);
+// Guards against a serving heartbeat that reverts an earlier announcement to leave.
+TEST_F(LocalInstanceTest, ALeavingProcessStaysLeaving) {
+  SendHeartbeat("i-1", 10, 1);
+  SendHeartbeat("i-1", 10, 2, InstanceState::kLeaving);
   const auto since = instance_.leaving_since();
   ASSERT_TRUE(since);
   now_ += seconds(1);
-  Beat("i-1", 10, 3);
+  SendHeartbeat("i-1", 10, 3);
   EXPECT_EQ(instance_.leaving_since(), since);
-  Beat("i-2", 20, 1);
+  SendHeartbeat("i-2", 20, 1);
   EXPECT_FALSE(instance_.leaving_since());
   EXPECT_FALSE(instance_.HandleLeave("i-1", now_));
   EXPECT_TRUE(instance_.HandleLeave("i-2", now_));
   EXPECT_TRUE(instance_.leaving_since());
 }
 
-// Guards against a restarted node that keeps its upstream without work until the next heartbeat,
-// and against a found instance that replaces what the instance said itself.
+// Guards against a restarted node that sends its upstream no requests until the next heartbeat, and
+// against a discovered instance that replaces one known from a heartbeat.
 TEST_F(LocalInstanceTest, AdoptsAnInstanceOnlyBeforeItsFirstHeartbeat) {
   EXPECT_FALSE(instance_.Adopt("", 4, now_));
   EXPECT_TRUE(instance_.Adopt("i-1", 4, now_));
@@ -57,7 +57,7 @@
   EXPECT_EQ(instance_.service(), "parts");
   EXPECT_EQ(instance_.slots(), 4U);
   EXPECT_FALSE(instance_.leaving_since());
-  EXPECT_EQ(Beat("i-1", 10, 3), HeartbeatOutcome::kTaken);
+  EXPECT_EQ(SendHeartbeat("i-1", 10, 3), HeartbeatOutcome::kTaken);
   EXPECT_EQ(instance_.slots(), 8U);
   EXPECT_FALSE(instance_.Adopt("i-2", 4, now_));
   now_ += seconds(4);
@@ -65,32 +65,32 @@
   EXPECT_FALSE(instance_.Adopt("i-2", 4, now_));
 }
 
-// Guards against work for an instance that told an earlier process of this node that it leaves.
+// Guards against requests to an instance that told an earlier process of this node that it leaves.
 TEST_F(LocalInstanceTest, AnAdoptedInstanceThatIsHeardLeavingHasLeftLongAgo) {
   instance_.Adopt("i-1", 4, now_);
-  Beat("i-1", 10, 3, InstanceState::kLeaving);
+  SendHeartbeat("i-1", 10, 3, InstanceState::kLeaving);
   EXPECT_EQ(instance_.leaving_since(), base::TimePoint{});
 }
 
-// Guards against an instance that crashed without a word and is kept.
+// Guards against keeping an instance that crashed without announcing its leaving.
 TEST_F(LocalInstanceTest, ForgetsASilentInstance) {
-  Beat("i-1", 10, 1);
+  SendHeartbeat("i-1", 10, 1);
   now_ += milliseconds(3999);
   EXPECT_FALSE(instance_.ExpireIfSilent(now_));
   now_ += milliseconds(1);
   EXPECT_TRUE(instance_.ExpireIfSilent(now_));
   EXPECT_FALSE(instance_.is_known());
-  EXPECT_EQ(Beat("i-0", 5, 1), HeartbeatOutcome::kLate);
+  EXPECT_EQ(SendHeartbeat("i-0", 5, 1), HeartbeatOutcome::kLate);
 }
 
-// Guards against a node that restarts while its instance leaves, and grants the time to leave again
-// (fault soak, seed 1041: 21 requests later than 2 s after the acknowledgement).
-TEST_F(LocalInstanceTest, AnInstanceFirstHeardLeavingGetsNoTimeOfItsOwn) {
-  EXPECT_EQ(Beat("i-1", 10, 25, InstanceState::kLeaving), HeartbeatOutcome::kTaken);
+// Guards against a node that restarts while its instance is leaving and starts the time allowed for
+// leaving again (fault soak, seed 1041: 21 requests more than 2 s after the acknowledgement).
+TEST_F(LocalInstanceTest, ARestartedNodeDoesNotExtendTheTimeToLeave) {
+  EXPECT_EQ(SendHeartbeat("i-1", 10, 25, InstanceState::kLeaving), HeartbeatOutcome::kTaken);
   EXPECT_EQ(instance_.leaving_since(), base::TimePoint{});
 }
 
-// Guards against heartbeats of a back end that belongs to another host.
+// Guards against accepting heartbeats of an instance that belongs to another host.
 TEST_F(LocalInstanceTest, RefusesAnotherService) {
   EXPECT_EQ(instance_.HandleHeartbeat({"i-1", "other", 1, 1, InstanceState::kServing, 8, {}}, now_),
             HeartbeatOutcome::kOtherService);
@@ -108,10 +108,10 @@
   return record;
 }
 
-/** One registry and one view that asks it. */
+/** Synchronizes a view with registries. */
 class RegistryTest : public ::testing::Test {
  protected:
-  SyncAnswer Ask(Registry& registry, const std::string& host) {
+  SyncAnswer Sync(Registry& registry, const std::string& host) {
     const DirectoryView::Position position = view_.PositionAt(host);
     SyncAnswer answer;
     registry.FillAnswer({{}, 0, position.epoch, position.revision}, answer);
@@ -123,74 +123,74 @@
   DirectoryView view_;
 };
 
-// Guards against questions that carry the whole registry each time.
+// Guards against sending the whole registry with each response.
 TEST_F(RegistryTest, SendsOnlyChanges) {
   Registry registry(1, seconds(4), now_);
   registry.Renew(Record("a", 1, 1), now_);
   registry.Renew(Record("b", 1, 1), now_);
-  EXPECT_EQ(Ask(registry, "c1").records.size(), 2U);
-  EXPECT_EQ(Ask(registry, "c1").records.size(), 0U);
+  EXPECT_EQ(Sync(registry, "c1").records.size(), 2U);
+  EXPECT_EQ(Sync(registry, "c1").records.size(), 0U);
   EXPECT_FALSE(registry.Renew(Record("a", 1, 1), now_));
   EXPECT_TRUE(registry.Renew(Record("a", 1, 2), now_));
-  EXPECT_EQ(Ask(registry, "c1").records.size(), 1U);
+  EXPECT_EQ(Sync(registry, "c1").records.size(), 1U);
   EXPECT_EQ(view_.records().size(), 2U);
 }
 
-// Guards against nodes that died and stay in the directory.
+// Guards against nodes that stopped and remain in the directory.
 TEST_F(RegistryTest, RemovesWhatWasNotRenewed) {
   Registry registry(1, seconds(4), now_);
   registry.Renew(Record("a", 1, 1), now_);
   registry.Renew(Record("b", 1, 1), now_);
-  Ask(registry, "c1");
+  Sync(registry, "c1");
   now_ += seconds(3);
   registry.Renew(Record("b", 1, 1), now_);
   now_ += seconds(2);
   registry.Expire(now_);
-  Ask(registry, "c1");
+  Sync(registry, "c1");
   EXPECT_EQ(view_.records().count("a"), 0U);
   EXPECT_EQ(view_.records().count("b"), 1U);
 }
 
-// Guards against a node that restarted while its clock was set back and is not taken any more.
-TEST_F(RegistryTest, TakesALifeWithALowerEpoch) {
+// Guards against ignoring a node that restarted with its clock set back.
+TEST_F(RegistryTest, AcceptsALowerEpochAfterARestart) {
   Registry registry(1, seconds(4), now_);
   registry.Renew(Record("a", 50, 9), now_);
   EXPECT_TRUE(registry.Renew(Record("a", 40, 1), now_));
-  Ask(registry, "c1");
+  Sync(registry, "c1");
   EXPECT_EQ(view_.records().at("a").epoch, 40U);
 }
 
-// Guards against a restarted control host whose empty registry takes every instance away.
-TEST_F(RegistryTest, AnIncompleteRegistryTakesNothingAway) {
+// Guards against a restarted control host whose empty registry removes all instances.
+TEST_F(RegistryTest, AnIncompleteRegistryRemovesNothing) {
   Registry first(1, seconds(4), now_);
   first.Renew(Record("a", 1, 1), now_);
-  Ask(first, "c1");
+  Sync(first, "c1");
   Registry restarted(2, seconds(4), now_);
-  Ask(restarted, "c1");
+  Sync(restarted, "c1");
   EXPECT_EQ(view_.records().size(), 1U);
   now_ += seconds(5);
   restarted.Expire(now_);
-  Ask(restarted, "c1");
+  Sync(restarted, "c1");
   EXPECT_EQ(view_.records().size(), 0U);
 }
 
-// Guards against one control host that is cut off from a node and takes it away from all.
+// Guards against a control host that is cut off from a node and removes it for all other nodes.
 TEST_F(RegistryTest, ANodeStaysWhileAnyControlHostListsIt) {
   Registry one(1, seconds(4), now_);
   Registry two(2, seconds(4), now_);
   one.Renew(Record("a", 1, 1), now_);
   two.Renew(Record("a", 1, 1), now_);
-  Ask(one, "c1");
-  Ask(two, "c2");
+  Sync(one, "c1");
+  Sync(two, "c2");
   now_ += seconds(5);
   one.Expire(now_);
-  Ask(one, "c1");
+  Sync(one, "c1");
   EXPECT_EQ(view_.records().size(), 1U);
   EXPECT_TRUE(view_.Forget("c2"));
   EXPECT_EQ(view_.records().size(), 0U);
 }
 
-// Guards against a decoder that trusts its input.
+// Guards against a decoder that accepts truncated messages or fails otherwise on corrupted ones.
 TEST(MessagesTest, RoundTripAndRefuseDamage) {
   SyncAnswer answer;
   answer.is_current = true;
@@ -209,10 +209,10 @@
   }
   base::Random random = base::SeededRandom(7);
   for (int i = 0; i < 20'000; ++i) {
-    std::string damaged = bytes;
-    damaged[base::DrawBelow(random, damaged.size())] = static_cast<char>(random());
+    std::string corrupted = bytes;
+    corrupted[base::DrawBelow(random, corrupted.size())] = static_cast<char>(random());
     try {
-      Decode(damaged);
+      Decode(corrupted);
     } catch (const DirectoryError&) {
     }
   }
