--- a/libraries/declaration/declaration.h
+++ b/libraries/declaration/declaration.h
@@ -1,7 +1,8 @@
 #ifndef BORAGELOFT_DECLARATION_DECLARATION_H_
 #define BORAGELOFT_DECLARATION_DECLARATION_H_
 
-/** @file Public header of the declaration library: routes declared as a whole, and their register.
+/** @file Public header of the declaration library: routes, and the replicated register of the
+ * declaration in force.
  */
 
 #include "libraries/declaration/declaration_register.h"
--- a/libraries/declaration/declaration_register.cc
+++ b/libraries/declaration/declaration_register.cc
@@ -16,9 +16,9 @@
   }
 }
 
-std::uint64_t TakeNumber(std::string_view& bytes) {
+std::uint64_t ReadNumber(std::string_view& bytes) {
   if (bytes.size() < kNumberBytes) {
-    throw DeclarationError("a stored declaration ends early");
+    throw DeclarationError("declaration data is truncated");
   }
   std::uint64_t number = 0;
   for (std::size_t i = 0; i < kNumberBytes; ++i) {
@@ -28,7 +28,7 @@
   return number;
 }
 
-std::uint64_t DigestOf(std::string_view text) { return base::Hash(text); }
+std::uint64_t ComputeDigest(std::string_view text) { return base::Hash(text); }
 
 }  // namespace
 
@@ -42,20 +42,20 @@
 
 ReplaceCommand DecodeCommand(std::string_view bytes) {
   ReplaceCommand command;
-  command.base = TakeNumber(bytes);
-  command.version = TakeNumber(bytes);
+  command.base = ReadNumber(bytes);
+  command.version = ReadNumber(bytes);
   command.text = std::string(bytes);
   return command;
 }
 
 ReplaceOutcome DeclarationRegister::Preview(const ReplaceCommand& command) const {
-  const std::uint64_t digest = DigestOf(command.text);
-  const bool is_repeated =
+  const std::uint64_t digest = ComputeDigest(command.text);
+  const bool was_accepted =
       std::any_of(history_.rbegin(), history_.rend(), [&](const Accepted& accepted) {
         return accepted.base == command.base && accepted.version == command.version &&
                accepted.digest == digest;
       });
-  if (is_repeated) {
+  if (was_accepted) {
     return ReplaceOutcome::kAcceptedEarlier;
   }
   if (command.base != version_) {
@@ -70,8 +70,8 @@
     VERIFY(command.version > version_);
     version_ = command.version;
     text_ = command.text;
-    history_.push_back({command.base, command.version, DigestOf(command.text)});
-    if (history_.size() > kHistoryLength) {
+    history_.push_back({command.base, command.version, ComputeDigest(command.text)});
+    if (history_.size() > kMaxHistoryEntries) {
       history_.pop_front();
     }
   }
@@ -98,16 +98,16 @@
   if (data.empty()) {
     return;
   }
-  const Version version = TakeNumber(data);
-  const std::uint64_t count = TakeNumber(data);
-  if (count > kHistoryLength) {
-    throw DeclarationError("a stored declaration has too long a history");
+  const Version version = ReadNumber(data);
+  const std::uint64_t count = ReadNumber(data);
+  if (count > kMaxHistoryEntries) {
+    throw DeclarationError("declaration snapshot has too many history entries");
   }
   for (std::uint64_t i = 0; i < count; ++i) {
     Accepted accepted;
-    accepted.base = TakeNumber(data);
-    accepted.version = TakeNumber(data);
-    accepted.digest = TakeNumber(data);
+    accepted.base = ReadNumber(data);
+    accepted.version = ReadNumber(data);
+    accepted.digest = ReadNumber(data);
     history_.push_back(accepted);
   }
   version_ = version;
--- a/libraries/declaration/declaration_register.h
+++ b/libraries/declaration/declaration_register.h
@@ -11,54 +11,58 @@
 
 namespace borageloft::declaration {
 
-/** A stored or transmitted declaration cannot be read. */
+/** A stored or received declaration or command cannot be decoded. */
 class DeclarationError : public base::Error {
  public:
   using Error::Error;
 };
 
-/** Order to replace the declaration in force. */
+/** Command to replace the declaration in force. */
 struct ReplaceCommand {
-  Version base = 0;     ///< Version that the new declaration builds on.
-  Version version = 0;  ///< Its own version.
-  std::string text;     ///< The declaration as the operator sent it.
+  Version base = 0;     ///< Version that the new declaration is based on.
+  Version version = 0;  ///< Version of the new declaration.
+  std::string text;     ///< The declaration as the operator submitted it.
 };
 
-/** @return Bytes for the replicated log. */
+/** @return @p command as an entry of the replicated log. */
 std::string EncodeCommand(const ReplaceCommand& command);
 
-/** @throws DeclarationError if the bytes are no command. */
+/** @throws DeclarationError If @p bytes are not a valid command. */
 ReplaceCommand DecodeCommand(std::string_view bytes);
 
-/** What became of a command. */
+/** Result of a command. */
 enum class ReplaceOutcome : std::uint8_t {
-  kAccepted,         // In force from now on.
+  kAccepted,         // The declaration is in force.
   kAcceptedEarlier,  // The same command was accepted before.
-  kWrongBase,        // Another version than the base is in force.
-  kNotAbove,         // The version is not above the one in force.
+  kWrongBase,        // The version in force is not the base.
+  kNotAbove,         // The version is not higher than the one in force.
 };
 
 /**
- * The declaration in force, as a replicated state machine: compare-and-set on its version. It
- * remembers the digests of what it accepted, so that an order that is sent again because its
- * acknowledgement was lost is acknowledged again. Deterministic; not thread-safe.
+ * Replicated state machine that holds the declaration in force and replaces it by compare-and-set
+ * on its version. It keeps the digests of accepted commands, so that a command that is retried
+ * after its acknowledgement was lost is acknowledged again. Deterministic; not thread-safe.
  */
 class DeclarationRegister {
  public:
+  /** Replaces the declaration in force if @p command is accepted. @return Result of the command. */
   ReplaceOutcome Apply(const ReplaceCommand& command);
 
-  /** @return What Apply() would return, without effect. */
+  /** @return The result that Apply() would return, without changing the state. */
   ReplaceOutcome Preview(const ReplaceCommand& command) const;
 
-  /** @return The whole state. */
+  /** @return The serialized state. */
   std::string Snapshot() const;
 
-  /** Replaces the whole state; empty data stands for the state before the first command. */
+  /**
+   * Replaces the state by a snapshot. Empty @p data stands for the state before the first command.
+   * @throws DeclarationError If @p data is not a valid snapshot.
+   */
   void Restore(std::string_view data);
 
-  /** @return Version in force, 0 before the first one. */
+  /** @return Version in force, or 0 before the first declaration. */
   Version version() const { return version_; }
-  /** @return The declaration in force as the operator sent it. */
+  /** @return The declaration in force as the operator submitted it. */
   const std::string& text() const { return text_; }
 
  private:
@@ -68,8 +72,8 @@
     std::uint64_t digest = 0;
   };
 
-  // Commands whose repetition is recognised. An operator repeats an order for minutes at most.
-  static constexpr std::size_t kHistoryLength = 4096;
+  // Number of accepted commands whose retries are recognized. Operators retry for minutes at most.
+  static constexpr std::size_t kMaxHistoryEntries = 4096;
 
   Version version_ = 0;
   std::string text_;
--- a/libraries/declaration/route_table.cc
+++ b/libraries/declaration/route_table.cc
@@ -22,22 +22,22 @@
   for (const WeightedService& target : route_.targets) {
     weight_sum_ += target.weight;
   }
-  credits_.assign(route_.targets.size(), 0);
+  current_weights_.assign(route_.targets.size(), 0);
 }
 
 const std::string& RouteEntry::NextService() {
-  std::size_t best = credits_.size();
-  for (std::size_t i = 0; i < credits_.size(); ++i) {
+  std::size_t best = current_weights_.size();
+  for (std::size_t i = 0; i < current_weights_.size(); ++i) {
     if (route_.targets[i].weight <= 0) {
       continue;
     }
-    credits_[i] += route_.targets[i].weight;
-    if (best == credits_.size() || credits_[i] > credits_[best]) {
+    current_weights_[i] += route_.targets[i].weight;
+    if (best == current_weights_.size() || current_weights_[i] > current_weights_[best]) {
       best = i;
     }
   }
-  VERIFY(best < credits_.size());
-  credits_[best] -= weight_sum_;
+  VERIFY(best < current_weights_.size());
+  current_weights_[best] -= weight_sum_;
   return route_.targets[best].service;
 }
 
@@ -55,7 +55,7 @@
     return nullptr;
   }
   std::string_view path = target.substr(0, target.find('?'));
-  // Every prefix ends with a slash, so only the path up to each of its slashes can match.
+  // Every prefix ends with a slash, so only the parts of the path that end with a slash can match.
   for (std::size_t end = path.rfind('/'); end != std::string_view::npos;) {
     const auto entry = found->second.find(path.substr(0, end + 1));
     if (entry != found->second.end()) {
--- a/libraries/declaration/route_table.h
+++ b/libraries/declaration/route_table.h
@@ -11,7 +11,7 @@
 
 namespace borageloft::declaration {
 
-/** A route with the state of its weighted choice. */
+/** A route with the state of its weighted round robin. */
 class RouteEntry {
  public:
   explicit RouteEntry(Route route);
@@ -19,27 +19,28 @@
   const Route& route() const { return route_; }
 
   /**
-   * Chooses the target of the next request by smooth weighted round robin, which keeps the shares
-   * also over few requests.
+   * Chooses the service for the next request by smooth weighted round robin, which keeps to the
+   * weights even over a few requests.
+   * @return Name of the service.
    */
   const std::string& NextService();
 
  private:
   Route route_;
-  std::vector<double> credits_;
+  std::vector<double> current_weights_;
   double weight_sum_ = 0;
 };
 
 /** Finds the route of a request by host and longest path prefix. Not thread-safe. */
 class RouteTable {
  public:
-  /** @param declaration A declaration without fault. */
+  /** @param declaration A valid declaration, see FindFault(). */
   explicit RouteTable(const Declaration& declaration);
 
   /**
-   * @param host Host of the request; a port is ignored, and case does not matter.
-   * @param target Path of the request, with or without a query.
-   * @return The route, or null.
+   * @param host Host of the request; case and port are ignored.
+   * @param target Request target: a path with an optional query, which is ignored.
+   * @return The matching route, or null if there is none.
    */
   RouteEntry* Find(std::string_view host, std::string_view target);
 
--- a/libraries/declaration/routes.h
+++ b/libraries/declaration/routes.h
@@ -10,7 +10,7 @@
 
 namespace borageloft::declaration {
 
-/** Number of a declaration; later declarations have higher ones. 0 stands for none. */
+/** Version of a declaration, which increases with each declaration. 0 means none. */
 using Version = std::uint64_t;
 
 /** Whether a request may run more than once. */
@@ -19,41 +19,41 @@
   kAtMostOnce,
 };
 
-/** One target of a route. */
+/** A target of a route. */
 struct WeightedService {
   std::string service;
-  /** Share of the route's requests, relative to the other targets. */
+  /** Weight of the service, relative to the other targets of the route. */
   double weight = 1;
 };
 
-/** Rule for the requests of one host below one path prefix. */
+/** Rule for requests to a host whose path starts with a prefix. */
 struct Route {
   std::string name;
   std::string host;
   std::string path_prefix;
   Repetition repetition = Repetition::kAtMostOnce;
-  /** Longest time that a caller is kept waiting; zero means no bound besides its own deadline. */
+  /** Maximum time to answer a request; zero means no limit besides the caller's deadline. */
   base::Duration timeout{0};
-  /** Time within which an answer is worth most; zero if not stated. */
+  /** Latency objective of the route; zero if not stated. */
   base::Duration target_latency{0};
-  /** Rank under overload; 0 is the most important. */
+  /** Priority under overload; 0 is the highest. */
   std::uint32_t priority = 0;
-  /** Most upstreams that one request may be sent to, at least 1. */
+  /** Maximum number of upstreams that a request is sent to, at least 1. */
   std::uint32_t attempts = 1;
-  /** At least one target with a positive weight. */
+  /** Targets, of which at least one has a positive weight. */
   std::vector<WeightedService> targets;
 };
 
-/** One declared service. */
+/** A declared service. */
 struct ServiceEntry {
   std::string name;
-  /** Connections that one upstream takes from all callers; 0 if not stated. */
+  /** Maximum number of connections to an upstream from all callers; 0 if not stated. */
   std::uint32_t connections = 0;
-  /** Path at which an upstream tells its health; empty if not stated. */
+  /** Path of the health check of an upstream; empty if not stated. */
   std::string health_path = {};
 };
 
-/** Bounds on what callers may send. Zero means not stated. */
+/** Limits for the requests of callers. Zero means not stated. */
 struct CallerLimits {
   std::uint64_t header_bytes = 0;
   std::uint64_t body_bytes = 0;
@@ -61,7 +61,7 @@
   base::Duration idle_timeout{0};
 };
 
-/** Everything an operator declares, as a whole. */
+/** Complete configuration of services, routes and limits that an operator declares. */
 struct Declaration {
   Version version = 0;
   std::vector<ServiceEntry> services;
@@ -70,8 +70,8 @@
 };
 
 /**
- * Checks the rules that hold within one declaration.
- * @return Why it is invalid, or nothing.
+ * Validates a declaration.
+ * @return Description of the first fault found, or nothing if the declaration is valid.
  */
 std::optional<std::string> FindFault(const Declaration& declaration);
 
--- a/tests/declaration/declaration_test.cc
+++ b/tests/declaration/declaration_test.cc
@@ -16,7 +16,7 @@
   return route;
 }
 
-Declaration Valid() {
+Declaration MakeValidDeclaration() {
   Declaration declaration;
   declaration.version = 5;
   declaration.services = {{"a", 10}, {"b", 10}};
@@ -25,7 +25,7 @@
 }
 
 TEST(RoutesTest, FindsEachFault) {
-  EXPECT_FALSE(FindFault(Valid()));
+  EXPECT_FALSE(FindFault(MakeValidDeclaration()));
   const std::map<std::string, std::function<void(Declaration&)>> faults = {
       {"version", [](Declaration& d) { d.version = 0; }},
       {"host", [](Declaration& d) { d.routes[0].host.clear(); }},
@@ -34,33 +34,33 @@
        [](Declaration& d) {
          d.routes[0].targets = {{"c", 1}};
        }},
-      {"add up to 0",
+      {"sum of the weights",
        [](Declaration& d) {
          d.routes[0].targets = {{"a", 0}, {"b", 0}};
        }},
-      {"below 0",
+      {"a weight is negative",
        [](Declaration& d) {
          d.routes[0].targets = {{"a", -1}, {"b", 2}};
        }},
-      {"names no service", [](Declaration& d) { d.routes[0].targets.clear(); }},
-      {"stands twice",
+      {"has no service", [](Declaration& d) { d.routes[0].targets.clear(); }},
+      {"empty or duplicate",
        [](Declaration& d) {
          d.services.push_back({"a", 1});
        }},
       {"same host", [](Declaration& d) { d.routes[1].path_prefix = "/x/"; }},
   };
-  for (const auto& [text, damage] : faults) {
-    Declaration declaration = Valid();
-    damage(declaration);
+  for (const auto& [text, inject_fault] : faults) {
+    Declaration declaration = MakeValidDeclaration();
+    inject_fault(declaration);
     const auto fault = FindFault(declaration);
     ASSERT_TRUE(fault) << text;
     EXPECT_NE(fault->find(text), std::string::npos) << *fault;
   }
 }
 
-// Guards against a shorter prefix, a partial path segment or a query that decides the route.
+// Guards against matching a shorter prefix, a partial path segment or the query.
 TEST(RouteTableTest, TakesTheLongestPrefixOfTheHost) {
-  RouteTable table(Valid());
+  RouteTable table(MakeValidDeclaration());
   ASSERT_NE(table.Find("SHOP.example:80", "/x/y/z?q=/x/"), nullptr);
   EXPECT_EQ(table.Find("shop.example", "/x/y/z")->route().path_prefix, "/x/y/");
   EXPECT_EQ(table.Find("shop.example", "/x/yy")->route().path_prefix, "/x/");
@@ -71,7 +71,8 @@
   EXPECT_EQ(table.Find("shop.example", "/?next=/x/"), nullptr);
 }
 
-// Guards against shares that hold only over many requests, and against targets of weight 0.
+// Guards against a split that follows the weights only over many requests, and against requests to
+// targets of weight 0.
 TEST(RouteTableTest, SplitsByWeightAlsoOverFewRequests) {
   RouteEntry entry(MakeRoute("/x/", {{"zero", 0}, {"a", 90}, {"b", 10}}));
   std::map<std::string, int> counts;
@@ -82,9 +83,9 @@
   EXPECT_EQ(counts["zero"], 0);
 }
 
-// Guards against two accepted declarations on one base, and a lost acknowledgement that turns a
-// repetition into a refusal.
-TEST(DeclarationRegisterTest, ComparesAndSets) {
+// Guards against accepting two declarations with the same base, and against refusing a retry after
+// its acknowledgement was lost.
+TEST(DeclarationRegisterTest, AppliesCompareAndSet) {
   DeclarationRegister state;
   EXPECT_EQ(state.Apply({0, 3, "first"}), ReplaceOutcome::kAccepted);
   EXPECT_EQ(state.Apply({0, 3, "other"}), ReplaceOutcome::kWrongBase);
@@ -97,7 +98,7 @@
   EXPECT_EQ(state.text(), "second");
 }
 
-// Guards against a snapshot that forgets what was accepted.
+// Guards against a snapshot that lacks the accepted commands.
 TEST(DeclarationRegisterTest, RestoresItsWholeState) {
   DeclarationRegister state;
   for (Version version = 1; version <= 300; ++version) {
@@ -115,7 +116,7 @@
   EXPECT_EQ(restored.version(), 0U);
 }
 
-TEST(DeclarationRegisterTest, CommandsSurviveTheLog) {
+TEST(DeclarationRegisterTest, EncodesAndDecodesCommands) {
   const ReplaceCommand decoded = DecodeCommand(EncodeCommand({7, 9, std::string("a\0b", 3)}));
   EXPECT_EQ(decoded.base, 7U);
   EXPECT_EQ(decoded.version, 9U);
