--- a/tests/platform/platform_test.cc
+++ b/tests/platform/platform_test.cc
@@ -36,8 +36,8 @@
   EXPECT_EQ(declaration.limits.idle_timeout, std::chrono::seconds(15));
 }
 
-// Guards against a configuration that was cut short and is taken all the same.
-TEST(ConfigurationCodecTest, RefusesEveryCut) {
+// Guards against accepting a truncated configuration.
+TEST(ConfigurationCodecTest, RefusesTruncatedText) {
   const std::string text = kConfiguration;
   for (std::size_t size = 0; size < text.size(); ++size) {
     EXPECT_THROW(DecodeConfiguration(text.substr(0, size)), declaration::DeclarationError) << size;
@@ -58,15 +58,15 @@
     R"({"addr":"10.0.0.9:80","born":1700000000000,"info":{"service":"a","version":"v1",)"
     R"("zone":"z","slots":8},"status":{"state":"ready","seq":4,"cold_left_ms":0}})";
 
-// Guards against a heartbeat of another writer that names a back end to use.
-TEST(HeartbeatCodecTest, RefusesWhatIsNotWhole) {
+// Guards against accepting an instance from a malformed heartbeat, which may be of another sender.
+TEST(HeartbeatCodecTest, RefusesMalformedHeartbeats) {
   const auto heartbeat = DecodeHeartbeat("i-1", kHeartbeat);
   ASSERT_TRUE(heartbeat);
   EXPECT_EQ(heartbeat->born, 1700000000000U);
   EXPECT_EQ(heartbeat->slots, 8U);
   EXPECT_FALSE(DecodeHeartbeat("", kHeartbeat));
   const std::string text = kHeartbeat;
-  const std::vector<std::pair<std::string, std::string>> damages = {
+  const std::vector<std::pair<std::string, std::string>> corruptions = {
       {"1700000000000", "1.5"},
       {"1700000000000", "\"1\""},
       {"\"ready\"", "\"gone\""},
@@ -76,16 +76,16 @@
       {"\"service\":\"a\"", "\"service\":null"},
       {"{\"addr\"", "[\"addr\""},
   };
-  for (const auto& [from, to] : damages) {
-    std::string damaged = text;
-    damaged.replace(damaged.find(from), from.size(), to);
-    EXPECT_FALSE(DecodeHeartbeat("i-1", damaged)) << damaged;
+  for (const auto& [from, to] : corruptions) {
+    std::string corrupted = text;
+    corrupted.replace(corrupted.find(from), from.size(), to);
+    EXPECT_FALSE(DecodeHeartbeat("i-1", corrupted)) << corrupted;
   }
   base::Random random = base::SeededRandom(9);
   for (int i = 0; i < 20'000; ++i) {
-    std::string damaged = text;
-    damaged[base::DrawBelow(random, damaged.size())] = static_cast<char>(random());
-    DecodeHeartbeat("i-1", damaged);
+    std::string corrupted = text;
+    corrupted[base::DrawBelow(random, corrupted.size())] = static_cast<char>(random());
+    DecodeHeartbeat("i-1", corrupted);
   }
 }
 
@@ -95,9 +95,9 @@
   ready.method = "GET";
   ready.target = "/borageloft/ready";
   EXPECT_TRUE(std::holds_alternative<mesh::ReadinessCall>(dialect.decode_call(ready)));
-  const mesh::NodeCall beat =
+  const mesh::NodeCall heartbeat_call =
       dialect.decode_call(Call("/borageloft/rpc?call=instances.heartbeat&of=i-1", kHeartbeat));
-  ASSERT_TRUE(std::holds_alternative<mesh::HeartbeatCall>(beat));
+  ASSERT_TRUE(std::holds_alternative<mesh::HeartbeatCall>(heartbeat_call));
   const mesh::NodeCall leave =
       dialect.decode_call(Call("/borageloft/rpc?call=instances.leave&of=i-1"));
   ASSERT_TRUE(std::holds_alternative<mesh::LeaveCall>(leave));
