--- a/libraries/storage/atomic_file.h
+++ b/libraries/storage/atomic_file.h
@@ -8,17 +8,17 @@
 
 namespace borageloft::storage {
 
-/** Ending of the name under which a file is written before it is renamed. */
+/** Suffix of the temporary file that is written and then renamed to its final name. */
 inline constexpr std::string_view kTemporarySuffix = ".tmp";
 
 /**
  * Durably creates or replaces a file; a crash leaves either the old or the new content.
- * @throws FileError if an operation fails. The name may then refer to either content.
+ * @throws FileError if an operation fails. The file may then have the old or the new content.
  */
 void WriteFileAtomically(const FileSystem& file_system, const std::string& folder,
                          const std::string& name, std::string_view content);
 
-/** Removes what a crash left of WriteFileAtomically, and makes the folder's entries durable. */
+/** Removes files that an interrupted WriteFileAtomically left, and syncs the folder's entries. */
 void RemoveTemporaryFiles(const FileSystem& file_system, const std::string& folder);
 
 }  // namespace borageloft::storage
--- a/libraries/storage/data_folder.cc
+++ b/libraries/storage/data_folder.cc
@@ -25,7 +25,7 @@
 
 FileHandle CreateAndLock(const FileSystem& file_system, const std::string& path) {
   file_system.create_folder(path);
-  // Done even for an existing folder: the sync may have failed when it was created.
+  // Also syncs for an existing folder: the sync may have failed when the folder was created.
   file_system.sync_folder(ParentOf(path));
   return file_system.lock(path + "/" + kLockFileName);
 }
@@ -39,7 +39,8 @@
 
 std::string DataFolder::CreateSubfolder(const std::string& name) const {
   if (name.empty() || !std::all_of(name.begin(), name.end(), IsNameCharacter)) {
-    throw StorageError("'" + name + "' cannot name a folder: use letters, digits, '-' and '_'");
+    throw StorageError("invalid folder name '" + name +
+                       "': only letters, digits, '-' and '_' are allowed");
   }
   return CreateDurableFolder(file_system_, path_, name);
 }
--- a/libraries/storage/data_folder.h
+++ b/libraries/storage/data_folder.h
@@ -16,16 +16,17 @@
  public:
   /**
    * Creates the folder unless it exists, and locks it.
-   * @param file_system Hooks; they must outlive the folder and every store in it.
+   * @param file_system File operations; they must outlive the folder and every store in it.
    * @param path Path of the folder; its parent must exist.
-   * @throws FolderLockedError if another process, or another object of this one, holds the folder.
+   * @throws FolderLockedError if another process, or another DataFolder in this process, holds the
+   * lock.
    * @throws FileError if the folder cannot be created or written.
    */
   DataFolder(const FileSystem& file_system, std::string path);
 
   /** @return Path of the folder. */
   const std::string& path() const { return path_; }
-  /** @return The hooks. */
+  /** @return The file operations. */
   const FileSystem& file_system() const { return file_system_; }
 
   /**
--- a/libraries/storage/data_folder_check.cc
+++ b/libraries/storage/data_folder_check.cc
@@ -107,7 +107,7 @@
       AddFinding(FindingSeverity::kError, file.file, file.corruption.offset,
                  file.corruption.reason);
     }
-    for (const std::string& file : scan.unknown) {
+    for (const std::string& file : scan.unrecognized_files) {
       AddFinding(FindingSeverity::kNotice, file, 0, "file is not part of a log");
     }
     if (scan.torn_tail) {
--- a/libraries/storage/data_folder_check.h
+++ b/libraries/storage/data_folder_check.h
@@ -13,13 +13,13 @@
 
 namespace borageloft::storage {
 
-/** Weight of a finding. */
+/** Severity of a finding. */
 enum class FindingSeverity {
-  kNotice,  ///< The next start repairs or ignores it; nothing accepted is lost.
-  kError,   ///< The group does not open.
+  kNotice,  ///< The next start repairs or ignores it; no acknowledged write is lost.
+  kError,   ///< The group cannot be opened.
 };
 
-/** Something the check found. */
+/** A problem found by CheckDataFolder. */
 struct Finding {
   FindingSeverity severity = FindingSeverity::kNotice;
   std::string file;
@@ -35,15 +35,15 @@
   std::uint64_t first_index = 0;
   std::uint64_t last_index = 0;
   std::optional<TornTail> torn_tail;
-  std::optional<SnapshotId> snapshot;  ///< Newest valid one.
-  std::optional<Metadata> metadata;    ///< Nothing if never written or damaged.
+  std::optional<SnapshotId> snapshot;  ///< Newest valid snapshot, if any.
+  std::optional<Metadata> metadata;    ///< Empty if never written or damaged.
 };
 
-/** Whether a process holds the data folder. */
+/** Whether a process holds the lock of the data folder. */
 enum class FolderUse {
   kFree,
-  kInUse,    ///< Findings about the newest writes may be wrong.
-  kMissing,  ///< The path is no folder.
+  kInUse,    ///< Locked; findings about the newest writes may be wrong.
+  kMissing,  ///< The path does not exist or is not a folder.
 };
 
 /** Result of CheckDataFolder. */
@@ -58,9 +58,9 @@
 };
 
 /**
- * Reads and checks every file of a data folder without changing any.
+ * Reads and verifies every file of a data folder without modifying any.
  * @param path The data folder.
- * @param file_system Hooks.
+ * @param file_system File operations.
  * @throws FileError if a file cannot be read.
  */
 DataFolderReport CheckDataFolder(const std::string& path,
--- a/libraries/storage/file.h
+++ b/libraries/storage/file.h
@@ -9,13 +9,13 @@
 
 namespace borageloft::storage {
 
-/** An open file or lock that is closed with its owner. Every method may throw FileError. */
+/** Owns an open file or lock and closes it on destruction. Every method may throw FileError. */
 class File {
  public:
   /** Opens @p path through @p file_system, which must outlive the file. */
   File(const FileSystem& file_system, const std::string& path, OpenMode mode)
       : File(file_system, file_system.open(path, mode)) {}
-  /** Takes over an open handle. */
+  /** Takes ownership of an open handle. */
   File(const FileSystem& file_system, FileHandle handle)
       : file_system_(&file_system), handle_(handle) {}
   ~File() { file_system_->close(handle_); }
@@ -34,7 +34,7 @@
   }
   /** @return Size in bytes. */
   std::uint64_t Size() const { return file_system_->size(handle_); }
-  /** Cuts the file to @p size bytes. */
+  /** Truncates the file to @p size bytes. */
   void Truncate(std::uint64_t size) { file_system_->truncate(handle_, size); }
   /** Makes the content durable. */
   void Sync() { file_system_->sync(handle_); }
--- a/libraries/storage/file_system.cc
+++ b/libraries/storage/file_system.cc
@@ -17,7 +17,7 @@
 
 int DescriptorOf(FileHandle file) { return static_cast<int>(file); }
 
-// Errors of an open file name its descriptor's path, so that the operator finds the file.
+// Resolves the path of an open descriptor, so that error messages name the file.
 std::string PathOf(FileHandle file) {
   const std::string link = "/proc/self/fd/" + std::to_string(DescriptorOf(file));
   std::string path(4096, '\0');
--- a/libraries/storage/file_system.h
+++ b/libraries/storage/file_system.h
@@ -9,7 +9,7 @@
 
 namespace borageloft::storage {
 
-/** Names an open file or lock of one FileSystem. */
+/** Identifies an open file or lock of one FileSystem. */
 enum class FileHandle : int {};
 
 /** How a file is opened. */
@@ -20,13 +20,14 @@
 };
 
 /**
- * File operations of the storage library. Every hook throws FileError on failure. A failed write
- * may have stored any part of its bytes, and after a failed sync any unsynced bytes may be lost.
+ * File operations used by the storage library. Every operation throws FileError on failure. A
+ * failed write may have stored any part of its bytes, and after a failed sync any unsynced bytes
+ * may be lost.
  */
 struct FileSystem {
   /** Opens a file. */
   std::function<FileHandle(const std::string& path, OpenMode mode)> open;
-  /** Closes a file or releases a lock; does not fail. */
+  /** Closes a file or releases a lock; does not throw. */
   std::function<void(FileHandle file)> close;
   /** Reads up to @p size bytes at @p offset; fewer only at the end of the file. */
   std::function<std::string(FileHandle file, std::uint64_t offset, std::size_t size)> read;
@@ -34,11 +35,11 @@
   std::function<void(FileHandle file, std::uint64_t offset, std::string_view data)> write;
   /** Size of a file in bytes. */
   std::function<std::uint64_t(FileHandle file)> size;
-  /** Cuts a file to @p size bytes. */
+  /** Truncates a file to @p size bytes. */
   std::function<void(FileHandle file, std::uint64_t size)> truncate;
   /** Makes the file's content durable (fdatasync); its folder entry needs sync_folder. */
   std::function<void(FileHandle file)> sync;
-  /** Replaces @p to by @p from in one step. */
+  /** Atomically renames @p from to @p to, replacing an existing file. */
   std::function<void(const std::string& from, const std::string& to)> rename;
   /** Removes a file. */
   std::function<void(const std::string& path)> remove;
@@ -50,11 +51,11 @@
   std::function<void(const std::string& folder)> create_folder;
   /** Makes the entries of a folder durable. */
   std::function<void(const std::string& folder)> sync_folder;
-  /** Creates the file if needed and locks it. Throws FolderLockedError when it is locked. */
+  /** Creates the file if needed and locks it. Throws FolderLockedError if it is already locked. */
   std::function<FileHandle(const std::string& path)> lock;
 };
 
-/** @return The operations of the machine's own file system. */
+/** @return File operations that call the POSIX functions of the operating system. */
 FileSystem PosixFileSystem();
 
 }  // namespace borageloft::storage
--- a/libraries/storage/group_store.cc
+++ b/libraries/storage/group_store.cc
@@ -20,7 +20,7 @@
                                       log_.first_index(), snapshot));
   }
   if (log_.last_index() < snapshot) {
-    // A crash between the two steps of InstallSnapshot.
+    // InstallSnapshot was interrupted by a crash after it saved the snapshot; finish it.
     log_.Reset(snapshot + 1);
   }
 }
--- a/libraries/storage/group_store.h
+++ b/libraries/storage/group_store.h
@@ -20,8 +20,8 @@
 inline constexpr const char* kSnapshotFolderName = "snapshots";
 
 /**
- * Log, snapshot and metadata of one replication group. They share one state: when a write to any of
- * them fails, none can be used until the group is opened again. Not thread-safe.
+ * Log, snapshots and metadata of one replication group. They share one health state: when a write
+ * to any of them fails, none can be used until the group is opened again. Not thread-safe.
  */
 class GroupStore {
  public:
@@ -30,7 +30,8 @@
    * @param folder Data folder; must outlive the store.
    * @param name Name of the group; see DataFolder::CreateSubfolder.
    * @param options Settings of the log.
-   * @throws CorruptionError if stored bytes are damaged, or the log begins behind the snapshot.
+   * @throws CorruptionError if stored bytes are damaged, or entries between the newest
+   *   snapshot and the start of the log are missing.
    * @throws StorageFailedError if a repair fails.
    * @throws FileError if a folder cannot be created or a file cannot be read.
    */
@@ -38,21 +39,21 @@
   GroupStore(const GroupStore&) = delete;
   GroupStore& operator=(const GroupStore&) = delete;
 
-  /** @return Whether the store can be used; when it cannot, the owner steps down. */
+  /** @return Whether the store can be used. The owner steps down if it cannot. */
   StorageState state() const { return health_.state(); }
-  /** @return Why the store failed, or an empty text. */
+  /** @return Why the store failed, or an empty string. */
   const std::string& failure() const { return health_.cause(); }
 
   /** @return The log. */
   SegmentedLog& log() { return log_; }
   /** @return Term, vote and incarnation. */
   MetadataStore& metadata() { return metadata_; }
-  /** @return Entry of the newest snapshot, or nothing. */
+  /** @return Last entry that the newest snapshot covers, if there is a snapshot. */
   const std::optional<SnapshotId>& snapshot_id() const { return snapshots_.newest(); }
-  /** @return The newest valid snapshot, or nothing. */
+  /** @return The newest valid snapshot, if any. */
   std::optional<Snapshot> LoadSnapshot() const { return snapshots_.LoadNewest(); }
 
-  /** Stores a snapshot of this host's own state and drops the log behind it. */
+  /** Stores a snapshot of this host's own state and drops the log entries that it covers. */
   void SaveSnapshot(const SnapshotId& id, std::string_view content);
 
   /** Stores a snapshot received from another host; it replaces the whole log. */
--- a/libraries/storage/log_scan.cc
+++ b/libraries/storage/log_scan.cc
@@ -41,13 +41,13 @@
       if (const auto sequence = ParseSegmentFileName(name)) {
         sequences_.push_back(*sequence);
       } else {
-        result_.unknown.push_back(folder_ + "/" + name);
+        result_.unrecognized_files.push_back(folder_ + "/" + name);
       }
     }
     std::sort(sequences_.begin(), sequences_.end());
   }
 
-  // Segments before a replacing one may have been removed in part, so they are not read.
+  // Some of the segments before a replacing one may already be removed, so none of them is read.
   void SkipReplacedSegments() {
     for (std::size_t i = sequences_.size(); i-- > 0;) {
       const SegmentScan scan =
@@ -56,7 +56,7 @@
         continue;
       }
       const auto end = sequences_.begin() + static_cast<std::ptrdiff_t>(i);
-      std::transform(sequences_.begin(), end, std::back_inserter(result_.obsolete),
+      std::transform(sequences_.begin(), end, std::back_inserter(result_.obsolete_segments),
                      [this](std::uint64_t sequence) { return PathOf(sequence); });
       sequences_.erase(sequences_.begin(), end);
       return;
@@ -76,21 +76,22 @@
     }
     if (scan.torn_bytes > 0 || !scan.header) {
       if (!is_last) {
-        ReportCorruption(sequence, scan.valid_bytes, "segment ends early but a later one exists");
+        ReportCorruption(sequence, scan.valid_bytes,
+                         "segment is incomplete but a later segment exists");
         return;
       }
       result_.torn_tail = TornTail{PathOf(sequence), scan.valid_bytes, scan.torn_bytes};
     }
     if (!scan.header) {
-      result_.unfinished = PathOf(sequence);
+      result_.incomplete_segment = PathOf(sequence);
       return;
     }
-    if (Continues(*scan.header)) {
+    if (CheckContinuity(*scan.header)) {
       AddSegment(scan, sequence);
     }
   }
 
-  bool Continues(const SegmentHeader& header) {
+  bool CheckContinuity(const SegmentHeader& header) {
     if (result_.segments.empty()) {
       result_.first_index = header.first_index;
       return true;
@@ -126,7 +127,7 @@
   bool AddFrame(const ScannedFrame& scanned, std::uint64_t sequence) {
     const Frame& frame = scanned.frame;
     if (frame.type == FrameType::kTruncate) {
-      return TruncateFrom(scanned, sequence);
+      return ApplyTruncation(scanned, sequence);
     }
     if (frame.first_index != result_.next_index()) {
       ReportCorruption(sequence, scanned.offset,
@@ -144,14 +145,14 @@
     return true;
   }
 
-  bool TruncateFrom(const ScannedFrame& scanned, std::uint64_t sequence) {
+  bool ApplyTruncation(const ScannedFrame& scanned, std::uint64_t sequence) {
     const std::uint64_t index = scanned.frame.first_index;
     if (index > result_.next_index()) {
-      ReportCorruption(sequence, scanned.offset, "truncation behind the end of the log");
+      ReportCorruption(sequence, scanned.offset, "truncation index is past the end of the log");
       return false;
     }
     if (index < result_.first_index) {
-      // The records before this index were in segments dropped behind a snapshot.
+      // The segments with the records before this index were dropped after a snapshot.
       result_.first_index = index;
       result_.records.clear();
     }
--- a/libraries/storage/log_scan.h
+++ b/libraries/storage/log_scan.h
@@ -12,15 +12,15 @@
 
 namespace borageloft::storage {
 
-/** Place of one record, kept in memory for each record of a log. */
-struct RecordPlace {
+/** Location of one record; the log keeps one in memory for each of its records. */
+struct RecordLocation {
   std::uint64_t segment = 0;   ///< Sequence number of the segment.
   std::uint64_t offset = 0;    ///< Offset of the record's bytes in the file.
   std::uint64_t checksum = 0;  ///< Hash of the record's bytes, checked on every read.
   std::uint32_t size = 0;
 };
 
-/** A tail that was cut off, or would be cut off on opening. */
+/** Incomplete last write of a log, which is cut off when the log is opened. */
 struct TornTail {
   std::string file;
   std::uint64_t offset = 0;
@@ -32,11 +32,14 @@
   std::uint64_t sequence = 0;
   std::string path;
   std::uint64_t valid_bytes = 0;
-  /** Last frame, or the header if there is none; the only bytes whose sync may have failed. */
+  /**
+   * Offset of the last frame, or of the header if there is none. Only the sync of this write may
+   * have failed.
+   */
   std::uint64_t last_write_offset = 0;
 };
 
-/** A file that is wrong. */
+/** A corrupt file. */
 struct CorruptFile {
   std::string file;
   Corruption corruption;
@@ -44,11 +47,11 @@
 
 /** Content of a log folder. */
 struct LogScan {
-  std::vector<SegmentFile> segments;      ///< Rising, without gaps.
-  std::vector<std::string> obsolete;      ///< Segments that a later one replaces, oldest first.
-  std::vector<std::string> unknown;       ///< Files that are no segments.
-  std::optional<std::string> unfinished;  ///< Newest segment, if its header was never completed.
-  std::deque<RecordPlace> records;        ///< From first_index on.
+  std::vector<SegmentFile> segments;            ///< In increasing order, without gaps.
+  std::vector<std::string> obsolete_segments;   ///< Segments replaced by a later one, oldest first.
+  std::vector<std::string> unrecognized_files;  ///< Files that are not segments.
+  std::optional<std::string> incomplete_segment;  ///< Newest segment, if its header is incomplete.
+  std::deque<RecordLocation> records;             ///< From first_index on.
   std::uint64_t first_index = 1;
   std::optional<TornTail> torn_tail;
   std::vector<CorruptFile> corruptions;  ///< If not empty, the log cannot be opened.
@@ -59,7 +62,7 @@
 
 /**
  * Reads a whole log without changing it.
- * @param file_system Hooks.
+ * @param file_system File operations.
  * @param folder Folder of the log; it must exist.
  * @throws FileError if a file cannot be read.
  */
--- a/libraries/storage/metadata_store.cc
+++ b/libraries/storage/metadata_store.cc
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::uint64_t kMetadataMagic = 0x4154454D464F4C42;  // "BLOFMETA" in file order.
-constexpr std::size_t kFixedBytes = 40;                       // All fields but the vote.
+constexpr std::size_t kFixedBytes = 40;                       // Size of all fields except the vote.
 
 }  // namespace
 
@@ -68,8 +68,8 @@
   VERIFY(metadata.term > metadata_.term || metadata_.vote.empty() ||
          metadata.vote == metadata_.vote);
   if (metadata.vote.size() > kMaximumVoteBytes) {
-    throw StorageError(
-        fmt::format("name of {} bytes exceeds {} bytes", metadata.vote.size(), kMaximumVoteBytes));
+    throw StorageError(fmt::format("voted host name of {} bytes exceeds the limit of {} bytes",
+                                   metadata.vote.size(), kMaximumVoteBytes));
   }
   health_.Run([&] {
     WriteFileAtomically(file_system_, folder_, kMetadataFileName, EncodeMetadata(metadata));
--- a/libraries/storage/metadata_store.h
+++ b/libraries/storage/metadata_store.h
@@ -15,10 +15,10 @@
 /** Longest name of a host in a vote, in bytes. */
 inline constexpr std::size_t kMaximumVoteBytes = 255;
 
-/** Small durable state of a control host. */
+/** State of a control host that must survive restarts. */
 struct Metadata {
   std::uint64_t term = 0;
-  std::string vote;  ///< Host that got this host's vote in the term; empty for none.
+  std::string vote;  ///< Host that this host voted for in the term; empty if none.
   std::uint64_t incarnation = 0;
   bool operator==(const Metadata&) const = default;
 };
@@ -26,21 +26,22 @@
 /** @return The bytes of a metadata file. */
 std::string EncodeMetadata(const Metadata& metadata);
 
-/** @return The metadata, or nothing if the bytes are damaged or of another version. */
+/** @return The metadata, or std::nullopt if the bytes are damaged or of another version. */
 std::optional<Metadata> DecodeMetadata(std::string_view bytes);
 
 /**
- * Keeps one Metadata record. It is replaced by rename: a damaged record is then always a fault of
- * the disk and is refused, since an older record could lead to a second vote in one term.
+ * Stores one Metadata record, which is replaced atomically by rename. A crash therefore cannot
+ * damage it: a damaged record is a disk fault and is refused, since falling back to an older record
+ * could lead to a second vote in one term.
  * Not thread-safe.
  */
 class MetadataStore {
  public:
   /**
-   * Reads the record, or begins with an empty one.
-   * @param file_system Hooks; they must outlive the store.
+   * Reads the record, or starts with an empty one if there is none.
+   * @param file_system File operations; they must outlive the store.
    * @param folder Existing folder.
-   * @param health State shared with the other parts of the store; must outlive this.
+   * @param health State shared with the other parts of the store; must outlive this object.
    * @throws CorruptionError if the record is damaged.
    */
   MetadataStore(const FileSystem& file_system, std::string folder, StorageHealth& health);
@@ -49,12 +50,12 @@
   const Metadata& metadata() const { return metadata_; }
 
   /**
-   * Durably replaces the record. Neither the term nor the incarnation may fall, and a vote may not
-   * change within a term.
+   * Durably replaces the record. Neither the term nor the incarnation may decrease, and a vote may
+   * not change within a term.
    */
   void Save(const Metadata& metadata);
 
-  /** Durably raises the incarnation by one. @return The new incarnation. */
+  /** Durably increments the incarnation. @return The new incarnation. */
   std::uint64_t RaiseIncarnation();
 
  private:
--- a/libraries/storage/record.cc
+++ b/libraries/storage/record.cc
@@ -18,16 +18,16 @@
 constexpr std::size_t kPayloadHashOffset = 24;
 constexpr std::size_t kHeaderHashOffset = 32;
 
-std::uint64_t SaltOf(const FramePlace& place) {
+std::uint64_t SaltOf(const FrameLocation& location) {
   std::string bytes;
-  AppendInteger(bytes, place.segment);
-  AppendInteger(bytes, place.offset);
+  AppendInteger(bytes, location.segment);
+  AppendInteger(bytes, location.offset);
   return base::Hash(bytes);
 }
 
-std::string EncodeFrame(FrameType type, const FramePlace& place, std::uint64_t first_index,
+std::string EncodeFrame(FrameType type, const FrameLocation& location, std::uint64_t first_index,
                         std::size_t count, std::string_view payload) {
-  const std::uint64_t salt = SaltOf(place);
+  const std::uint64_t salt = SaltOf(location);
   std::string bytes;
   bytes.reserve(kFrameHeaderBytes + payload.size());
   AppendInteger(bytes, kFrameMagic);
@@ -41,10 +41,11 @@
   return bytes;
 }
 
-// Splits the payload of a batch; false if the lengths do not add up.
+// Splits the payload of a batch into records; false if the lengths do not match the payload.
 bool SplitRecords(std::string_view payload, std::size_t count,
                   std::vector<std::string_view>& records) {
-  // Each record takes four bytes of length, which bounds the memory for a hostile count.
+  // Each record has a 4-byte length, so the payload size bounds the memory reserved for a
+  // malicious count.
   if (count == 0 || count > payload.size() / 4) {
     return false;
   }
@@ -66,21 +67,22 @@
 
 }  // namespace
 
-std::string EncodeBatchFrame(const FramePlace& place, std::uint64_t first_index,
+std::string EncodeBatchFrame(const FrameLocation& location, std::uint64_t first_index,
                              std::span<const std::string> records) {
   if (records.empty()) {
-    throw StorageError("a batch needs at least one record");
+    throw StorageError("batch contains no records");
   }
   std::size_t size = 0;
   for (const std::string& record : records) {
     if (record.size() > kMaximumRecordBytes) {
-      throw StorageError(
-          fmt::format("record of {} bytes exceeds {} bytes", record.size(), kMaximumRecordBytes));
+      throw StorageError(fmt::format("record of {} bytes exceeds the limit of {} bytes",
+                                     record.size(), kMaximumRecordBytes));
     }
     size += 4 + record.size();
   }
   if (size > kMaximumBatchBytes) {
-    throw StorageError(fmt::format("batch of {} bytes exceeds {} bytes", size, kMaximumBatchBytes));
+    throw StorageError(
+        fmt::format("batch of {} bytes exceeds the limit of {} bytes", size, kMaximumBatchBytes));
   }
   std::string payload;
   payload.reserve(size);
@@ -88,23 +90,23 @@
     AppendInteger(payload, static_cast<std::uint32_t>(record.size()));
     payload.append(record);
   }
-  return EncodeFrame(FrameType::kBatch, place, first_index, records.size(), payload);
+  return EncodeFrame(FrameType::kBatch, location, first_index, records.size(), payload);
 }
 
-std::string EncodeTruncateFrame(const FramePlace& place, std::uint64_t first_index) {
-  return EncodeFrame(FrameType::kTruncate, place, first_index, 0, {});
+std::string EncodeTruncateFrame(const FrameLocation& location, std::uint64_t first_index) {
+  return EncodeFrame(FrameType::kTruncate, location, first_index, 0, {});
 }
 
-FrameStatus DecodeFrame(std::string_view bytes, const FramePlace& place, Frame& frame) {
+FrameStatus DecodeFrame(std::string_view bytes, const FrameLocation& location, Frame& frame) {
   if (bytes.size() >= 4 && LoadInteger<std::uint32_t>(bytes, 0) != kFrameMagic) {
     return FrameStatus::kInvalid;
   }
   if (bytes.size() < kFrameHeaderBytes) {
     return FrameStatus::kIncomplete;
   }
-  // The header has its own checksum, so that a search for frames hashes a payload only behind a
-  // header that belongs to this place.
-  const std::uint64_t salt = SaltOf(place);
+  // The header has its own checksum, so that a search for frames hashes a payload only after a
+  // header that is valid at this location.
+  const std::uint64_t salt = SaltOf(location);
   if (base::Hash(bytes.substr(0, kHeaderHashOffset), salt) !=
       LoadInteger<std::uint64_t>(bytes, kHeaderHashOffset)) {
     return FrameStatus::kInvalid;
--- a/libraries/storage/record.h
+++ b/libraries/storage/record.h
@@ -9,11 +9,11 @@
 
 namespace borageloft::storage {
 
-/** Largest record, in bytes. A length above it is refused before memory is taken for it. */
+/** Largest record, in bytes. A larger length is rejected before memory is allocated for it. */
 inline constexpr std::size_t kMaximumRecordBytes = std::size_t{8} << 20U;
-/** Largest batch, in bytes, with the 4 bytes of length before each record. */
+/** Largest batch, in bytes, including the 4-byte length before each record. */
 inline constexpr std::size_t kMaximumBatchBytes = std::size_t{64} << 20U;
-/** Bytes before the payload of a frame. */
+/** Size of a frame header, in bytes. */
 inline constexpr std::size_t kFrameHeaderBytes = 40;
 
 /** What a frame does to the log. */
@@ -22,13 +22,13 @@
   kTruncate = 2,  ///< Discards the records from first_index on.
 };
 
-/** Place of a frame. Its checksum covers the place, so a displaced frame is not accepted. */
-struct FramePlace {
+/** Location of a frame. The frame's checksums cover it, so a misplaced frame is not accepted. */
+struct FrameLocation {
   std::uint64_t segment = 0;  ///< Sequence number of the segment.
   std::uint64_t offset = 0;   ///< Offset in the segment file, in bytes.
 };
 
-/** A decoded frame. The records refer to the bytes it was decoded from. */
+/** A decoded frame. Its records are views of the bytes that it was decoded from. */
 struct Frame {
   FrameType type = FrameType::kBatch;
   std::uint64_t first_index = 0;
@@ -36,7 +36,7 @@
   std::size_t size = 0;  ///< Bytes of the frame, header and payload.
 };
 
-/** Result of decoding. */
+/** Result of DecodeFrame. */
 enum class FrameStatus {
   kValid,
   kIncomplete,  ///< The bytes end before the frame does.
@@ -44,22 +44,22 @@
 };
 
 /**
- * Encodes one batch. All records of a batch share one checksum: a batch is written in one piece
- * before its sync, and sectors of it may reach the disk in any order.
+ * Encodes one batch. All records of a batch share one checksum: the batch is written with a single
+ * write before its sync, and its sectors may reach the disk in any order.
  * @throws StorageError if a record or the batch is too large, or the batch is empty.
  */
-std::string EncodeBatchFrame(const FramePlace& place, std::uint64_t first_index,
+std::string EncodeBatchFrame(const FrameLocation& location, std::uint64_t first_index,
                              std::span<const std::string> records);
 
 /** Encodes the removal of all records from @p first_index on. */
-std::string EncodeTruncateFrame(const FramePlace& place, std::uint64_t first_index);
+std::string EncodeTruncateFrame(const FrameLocation& location, std::uint64_t first_index);
 
 /**
  * Decodes the frame at the beginning of @p bytes.
- * @param place Where the bytes were read from.
+ * @param location Where the bytes were read from.
  * @param frame Receives the frame; changed only if the result is kValid.
  */
-FrameStatus DecodeFrame(std::string_view bytes, const FramePlace& place, Frame& frame);
+FrameStatus DecodeFrame(std::string_view bytes, const FrameLocation& location, Frame& frame);
 
 }  // namespace borageloft::storage
 
--- a/libraries/storage/segment.cc
+++ b/libraries/storage/segment.cc
@@ -40,7 +40,7 @@
   if (!HasValidHeaderHash(bytes)) {
     scan.torn_bytes = bytes.size();
     if (HasValidFrame(bytes, sequence, 0)) {
-      scan.corruption = Corruption{0, "segment header is wrong but records follow it"};
+      scan.corruption = Corruption{0, "segment header is invalid but valid frames follow it"};
     }
     return;
   }
@@ -56,8 +56,9 @@
       .kind = static_cast<SegmentKind>(LoadInteger<std::uint32_t>(bytes, kKindOffset)),
       .first_index = LoadInteger<std::uint64_t>(bytes, kIndexOffset)};
   if (header.sequence != sequence) {
-    scan.corruption =
-        Corruption{kSequenceOffset, fmt::format("file holds segment {}", header.sequence)};
+    scan.corruption = Corruption{
+        kSequenceOffset,
+        fmt::format("header has sequence number {}, not that of the file name", header.sequence)};
     return;
   }
   if (header.kind != SegmentKind::kContinues && header.kind != SegmentKind::kReplaces) {
@@ -98,7 +99,7 @@
   }
   scan.torn_bytes = bytes.size() - scan.valid_bytes;
   if (HasValidFrame(bytes, sequence, scan.valid_bytes + 1)) {
-    scan.corruption = Corruption{scan.valid_bytes, "record is wrong but valid records follow it"};
+    scan.corruption = Corruption{scan.valid_bytes, "invalid frame is followed by a valid one"};
   }
   return scan;
 }
--- a/libraries/storage/segment.h
+++ b/libraries/storage/segment.h
@@ -11,9 +11,9 @@
 
 namespace borageloft::storage {
 
-/** Version of the segment format. A file of another version is refused. */
+/** Version of the segment format. Files of other versions are rejected. */
 inline constexpr std::uint32_t kSegmentFormatVersion = 1;
-/** Bytes of a segment header. */
+/** Size of a segment header, in bytes. */
 inline constexpr std::size_t kSegmentHeaderBytes = 40;
 
 /** How a segment relates to those before it. */
@@ -22,9 +22,9 @@
   kReplaces = 2,   ///< Discards all segments before it.
 };
 
-/** Beginning of a segment file. */
+/** Header of a segment file. */
 struct SegmentHeader {
-  std::uint64_t sequence = 0;  ///< Rises by one with each segment; also in the file's name.
+  std::uint64_t sequence = 0;  ///< Increases by one per segment; also in the file name.
   SegmentKind kind = SegmentKind::kContinues;
   std::uint64_t first_index = 0;  ///< Next index of the log when the segment was created.
 };
@@ -35,28 +35,28 @@
   Frame frame;
 };
 
-/** What is wrong with a file, and where. */
+/** Location and reason of a corruption in a file. */
 struct Corruption {
   std::uint64_t offset = 0;
   std::string reason;
 };
 
-/** Content of a segment file. The frames refer to the scanned bytes. */
+/** Content of a segment file. The frames are views of the scanned bytes. */
 struct SegmentScan {
-  std::optional<SegmentHeader> header;  ///< Nothing if the file ends in or before its header.
+  std::optional<SegmentHeader> header;  ///< Empty if the header is incomplete or invalid.
   std::vector<ScannedFrame> frames;
   std::uint64_t valid_bytes = 0;  ///< Length of the header and the valid frames after it.
-  std::uint64_t torn_bytes = 0;   ///< Bytes behind valid_bytes that hold no valid frame.
+  std::uint64_t torn_bytes = 0;   ///< Bytes after valid_bytes, which hold no valid frame.
   std::optional<Corruption> corruption;
 };
 
-/** @return The header's bytes. */
+/** @return The encoded header. */
 std::string EncodeSegmentHeader(const SegmentHeader& header);
 
 /**
- * Reads a segment without changing it. Bytes that are no valid frame are a torn tail if no valid
- * frame follows them, since a frame is written only after the one before it was synced. If one
- * follows, synced bytes have changed: that is corruption.
+ * Decodes a segment. Bytes that do not form a valid frame are a torn tail if no valid frame follows
+ * them, since a frame is written only after the one before it was synced. If a valid frame follows,
+ * synced bytes have changed, which is reported as corruption.
  * @param bytes Content of the file.
  * @param sequence Sequence number in the file's name.
  */
@@ -65,7 +65,7 @@
 /** @return The file name of a segment. */
 std::string SegmentFileName(std::uint64_t sequence);
 
-/** @return The sequence number in a file name, or nothing for other files. */
+/** @return The sequence number in a file name, or std::nullopt for other files. */
 std::optional<std::uint64_t> ParseSegmentFileName(std::string_view name);
 
 }  // namespace borageloft::storage
--- a/libraries/storage/segmented_log.cc
+++ b/libraries/storage/segmented_log.cc
@@ -23,12 +23,12 @@
 
 std::uint64_t SegmentedLog::Append(std::span<const std::string> records) {
   health_.RequireUsable();
-  // Encoding first leaves the log unchanged if an argument is out of bounds.
-  std::string frame = EncodeBatchFrame(NextPlace(), last_index() + 1, records);
+  // Encodes before any write, so that an invalid argument leaves the log unchanged and usable.
+  std::string frame = EncodeBatchFrame(NextFrameLocation(), last_index() + 1, records);
   health_.Run([&] {
     if (segments_.rbegin()->second.size >= options_.segment_bytes) {
       StartSegment(SegmentKind::kContinues, last_index() + 1);
-      frame = EncodeBatchFrame(NextPlace(), last_index() + 1, records);
+      frame = EncodeBatchFrame(NextFrameLocation(), last_index() + 1, records);
     }
     WriteFrame(frame);
   });
@@ -46,8 +46,8 @@
                               std::size_t maximum_bytes) const {
   health_.RequireUsable();
   if (first < first_index_ || first > last_index() + 1) {
-    throw StorageError(fmt::format("{}: index {} is outside {} to {}", folder_, first, first_index_,
-                                   last_index()));
+    throw StorageError(fmt::format("{}: index {} is outside the range {} to {}", folder_, first,
+                                   first_index_, last_index()));
   }
   ReadResult result{.first_index = first, .records = {}};
   std::size_t bytes = 0;
@@ -69,7 +69,7 @@
   if (first == last_index() + 1) {
     return;
   }
-  health_.Run([&] { WriteFrame(EncodeTruncateFrame(NextPlace(), first)); });
+  health_.Run([&] { WriteFrame(EncodeTruncateFrame(NextFrameLocation(), first)); });
   records_.resize(first - first_index_);
 }
 
@@ -85,9 +85,10 @@
   records_.erase(records_.begin(),
                  records_.begin() + static_cast<std::ptrdiff_t>(last - first_index_ + 1));
   first_index_ = last + 1;
-  const std::uint64_t keep = records_.empty() ? segments_.rbegin()->first : records_[0].segment;
+  const std::uint64_t first_needed_segment =
+      records_.empty() ? segments_.rbegin()->first : records_[0].segment;
   health_.Run([&] {
-    while (segments_.begin()->first < keep) {
+    while (segments_.begin()->first < first_needed_segment) {
       RemoveOldestSegment();
     }
   });
@@ -112,8 +113,8 @@
 }
 
 void SegmentedLog::Repair(const LogScan& scan) {
-  if (scan.unfinished) {
-    file_system_.remove(*scan.unfinished);
+  if (scan.incomplete_segment) {
+    file_system_.remove(*scan.incomplete_segment);
   }
   if (scan.torn_tail) {
     base::Log(base::LogLevel::kWarning, "log_tail_cut",
@@ -128,18 +129,18 @@
   }
   RewriteLastWrite(scan.segments.back());
   file_system_.sync_folder(folder_);
-  // Only now is the segment that replaces these ones known to be durable.
-  for (const std::string& path : scan.obsolete) {
+  // Only now is the segment that replaces the obsolete ones known to be durable.
+  for (const std::string& path : scan.obsolete_segments) {
     file_system_.remove(path);
     file_system_.sync_folder(folder_);
   }
 }
 
-// After a failed sync, the kernel may show bytes that are not on the disk and count them as clean,
-// so that a further sync has no effect. Writing the last frame again makes it dirty.
+// After a failed sync, the page cache may hold bytes that are not on the disk but are marked clean,
+// so that another sync has no effect. Rewriting the last frame marks its pages dirty again.
 void SegmentedLog::RewriteLastWrite(const SegmentFile& last) {
   File& file = *segments_.rbegin()->second.file;
-  // Needed even if the size is right: the sync of an earlier cut may have failed.
+  // Needed even if the size is correct: the sync after an earlier truncation may have failed.
   file.Truncate(last.valid_bytes);
   const std::size_t size = static_cast<std::size_t>(last.valid_bytes - last.last_write_offset);
   file.Write(last.last_write_offset, file.Read(last.last_write_offset, size));
@@ -181,16 +182,16 @@
   segment.size += frame.size();
 }
 
-FramePlace SegmentedLog::NextPlace() const {
+FrameLocation SegmentedLog::NextFrameLocation() const {
   return {.segment = segments_.rbegin()->first, .offset = segments_.rbegin()->second.size};
 }
 
 std::string SegmentedLog::ReadRecord(std::uint64_t index) const {
-  const RecordPlace& place = records_[index - first_index_];
-  const Segment& segment = segments_.at(place.segment);
-  std::string record = segment.file->Read(place.offset, place.size);
-  if (record.size() != place.size || base::Hash(record) != place.checksum) {
-    throw CorruptionError(segment.path, place.offset,
+  const RecordLocation& location = records_[index - first_index_];
+  const Segment& segment = segments_.at(location.segment);
+  std::string record = segment.file->Read(location.offset, location.size);
+  if (record.size() != location.size || base::Hash(record) != location.checksum) {
+    throw CorruptionError(segment.path, location.offset,
                           fmt::format("record {} has changed since it was written", index));
   }
   return record;
--- a/libraries/storage/segmented_log.h
+++ b/libraries/storage/segmented_log.h
@@ -18,7 +18,7 @@
 
 /** Settings of a log. */
 struct LogOptions {
-  /** A new segment begins when the current one has reached this size, in bytes. */
+  /** An append starts a new segment once the current one has reached this size, in bytes. */
   std::uint64_t segment_bytes = std::uint64_t{64} << 20U;
 };
 
@@ -29,19 +29,19 @@
 };
 
 /**
- * Durable log of records with rising indexes, the first of which is 1. A record whose Append() has
- * returned survives a crash; a record whose Append() failed may be found when the log is opened
- * again. Not thread-safe.
+ * Durable log of records with consecutive indexes, which start at 1 in a new log. A record whose
+ * Append() has returned survives a crash; a record whose Append() failed may be present when the
+ * log is opened again. Not thread-safe.
  *
- * Truncation is a frame in the log rather than a cut of the file: a crash in the middle can then
- * never take a record before the truncated ones.
+ * A truncation is written as a frame instead of shortening the file, so that a crash during it
+ * cannot lose a record before the truncated ones.
  */
 class SegmentedLog {
  public:
   /**
-   * Opens a log or creates an empty one, and repairs what a crash left unfinished.
-   * @param file_system Hooks; they must outlive the log.
-   * @param folder Existing folder that holds nothing else.
+   * Opens a log or creates an empty one, and repairs the effects of a crash.
+   * @param file_system File operations; they must outlive the log.
+   * @param folder Existing folder that contains only this log.
    * @param health State shared with the other parts of the store; must outlive the log.
    * @param options Settings.
    * @throws CorruptionError if synced records are damaged.
@@ -60,10 +60,10 @@
   std::uint64_t Append(std::span<const std::string> records);
 
   /**
-   * Reads records in order, and checks each against its checksum.
+   * Reads records in order and verifies the checksum of each.
    * @param first Index of the first record, from first_index() to last_index() + 1.
    * @param maximum_count Largest number of records.
-   * @param maximum_bytes Reading stops behind the record that reaches this size.
+   * @param maximum_bytes Reading stops after the record with which the total reaches this size.
    * @throws CorruptionError if a record has changed since it was written.
    */
   ReadResult Read(std::uint64_t first, std::size_t maximum_count,
@@ -77,12 +77,12 @@
 
   /**
    * Allows removal of the records up to @p last, which a durable snapshot covers. Whole segments
-   * are removed, so some of these records may be visible again after the log is opened again.
+   * are removed, so some of these records may reappear when the log is opened again.
    * @param last At most last_index().
    */
   void DropPrefix(std::uint64_t last);
 
-  /** Durably discards all records; the next record gets @p next_index. */
+  /** Durably discards all records; the next record gets index @p next_index. */
   void Reset(std::uint64_t next_index);
 
   /** @return Index of the first record; last_index() + 1 if the log is empty. */
@@ -93,7 +93,7 @@
   std::size_t segment_count() const { return segments_.size(); }
   /** @return Size of the segment files in bytes. */
   std::uint64_t size_bytes() const;
-  /** @return Tail that was cut when the log was opened. */
+  /** @return Torn tail that was cut off when the log was opened, if any. */
   const std::optional<TornTail>& torn_tail() const { return torn_tail_; }
 
  private:
@@ -109,15 +109,15 @@
   void StartSegment(SegmentKind kind, std::uint64_t first_index);
   void RemoveOldestSegment();
   void WriteFrame(const std::string& frame);
-  FramePlace NextPlace() const;
+  FrameLocation NextFrameLocation() const;
   std::string ReadRecord(std::uint64_t index) const;
 
   const FileSystem& file_system_;
   std::string folder_;
   StorageHealth& health_;
   LogOptions options_;
-  std::map<std::uint64_t, Segment> segments_;  // By sequence number; the last one is written.
-  std::deque<RecordPlace> records_;            // From first_index_ on.
+  std::map<std::uint64_t, Segment> segments_;  // By sequence number; the last is written to.
+  std::deque<RecordLocation> records_;         // From first_index_ on.
   std::uint64_t first_index_ = 1;
   std::optional<TornTail> torn_tail_;
 };
--- a/libraries/storage/snapshot_store.cc
+++ b/libraries/storage/snapshot_store.cc
@@ -29,7 +29,7 @@
                      [](char c) { return c >= '0' && c <= '9'; });
 }
 
-// Rising order of index, since the number has a fixed width.
+// Sorted by index: the number in the name has a fixed width.
 std::vector<std::string> ListSnapshots(const FileSystem& file_system, const std::string& folder) {
   std::vector<std::string> names = file_system.list(folder);
   std::erase_if(names, [](const std::string& name) { return !IsSnapshotFileName(name); });
@@ -43,7 +43,7 @@
   result.snapshot = DecodeSnapshot(bytes, result.reason);
   if (result.snapshot && !path.ends_with(SnapshotFileName(result.snapshot->id.index))) {
     result.snapshot.reset();
-    result.reason = "file name and content name different entries";
+    result.reason = "index in the file name differs from that in the header";
   }
   return result;
 }
@@ -76,12 +76,12 @@
   }
   const std::string_view content = bytes.substr(kHeaderBytes);
   if (content.size() != LoadInteger<std::uint64_t>(bytes, 32)) {
-    reason = "length is wrong";
+    reason = "content length does not match the header";
     return std::nullopt;
   }
   if (base::Hash(content, base::Hash(bytes.substr(0, 40))) !=
       LoadInteger<std::uint64_t>(bytes, 40)) {
-    reason = "checksum is wrong";
+    reason = "checksum mismatch";
     return std::nullopt;
   }
   return Snapshot{.id = {.index = LoadInteger<std::uint64_t>(bytes, 16),
@@ -116,7 +116,7 @@
   health_.Run([&] {
     WriteFileAtomically(file_system_, folder_, name, EncodeSnapshot(id, content));
     newest_ = id;
-    // Removal needs no sync: an older snapshot that a crash brings back does no harm.
+    // The removal needs no sync: an older snapshot that reappears after a crash is harmless.
     for (const std::string& other : ListSnapshots(file_system_, folder_)) {
       if (other < name) {
         file_system_.remove(folder_ + "/" + other);
--- a/libraries/storage/snapshot_store.h
+++ b/libraries/storage/snapshot_store.h
@@ -21,27 +21,27 @@
   bool operator==(const SnapshotId&) const = default;
 };
 
-/** A snapshot. */
+/** State of a state machine up to a log entry. */
 struct Snapshot {
   SnapshotId id;
   std::string content;
 };
 
-/** A snapshot file, read and checked. */
+/** Result of reading and validating a snapshot file. */
 struct SnapshotFile {
   std::string file;
   std::uint64_t bytes = 0;
-  std::optional<Snapshot> snapshot;  ///< Nothing if the file is invalid.
+  std::optional<Snapshot> snapshot;  ///< Empty if the file is invalid.
   std::string reason;                ///< Why the file is invalid.
 };
 
-/** @return The bytes of a snapshot file. */
+/** @return The content of a snapshot file. */
 std::string EncodeSnapshot(const SnapshotId& id, std::string_view content);
 
 /**
  * @param bytes Content of a snapshot file.
  * @param reason Receives why the file is invalid.
- * @return The snapshot, or nothing.
+ * @return The snapshot, or std::nullopt.
  */
 std::optional<Snapshot> DecodeSnapshot(std::string_view bytes, std::string& reason);
 
@@ -53,15 +53,15 @@
  public:
   /**
    * Opens the folder and removes unfinished files.
-   * @param file_system Hooks; they must outlive the store.
-   * @param folder Existing folder that holds nothing else.
-   * @param health State shared with the other parts of the store; must outlive this.
+   * @param file_system File operations; they must outlive the store.
+   * @param folder Existing folder that contains only snapshots.
+   * @param health State shared with the other parts of the store; must outlive this object.
    */
   SnapshotStore(const FileSystem& file_system, std::string folder, StorageHealth& health);
 
   /**
    * Durably stores a snapshot, then removes the older ones.
-   * @param id Must not be older than the newest one.
+   * @param id Must not be older than the newest snapshot.
    * @param content State of the state machine.
    * @throws StorageFailedError if the store has failed or fails now.
    */
@@ -69,12 +69,12 @@
 
   /**
    * Reads the newest valid snapshot. Invalid ones are logged and left in place; the caller must
-   * check that its log reaches back to the snapshot it gets.
-   * @return The snapshot, or nothing.
+   * check that its log has no gap after the returned snapshot.
+   * @return The snapshot, or std::nullopt.
    */
   std::optional<Snapshot> LoadNewest() const;
 
-  /** @return Newest valid snapshot's entry, or nothing. */
+  /** @return Last entry that the newest valid snapshot covers, if there is a snapshot. */
   const std::optional<SnapshotId>& newest() const { return newest_; }
 
  private:
--- a/libraries/storage/storage_error.h
+++ b/libraries/storage/storage_error.h
@@ -8,13 +8,13 @@
 
 namespace borageloft::storage {
 
-/** Root of the errors of this library. Thrown itself for arguments outside the stated bounds. */
+/** Base class of this library's errors. Thrown directly for arguments out of range. */
 class StorageError : public base::Error {
  public:
   using base::Error::Error;
 };
 
-/** An operation of the file system failed. */
+/** A file system operation failed. */
 class FileError : public StorageError {
  public:
   /**
@@ -37,12 +37,12 @@
   using StorageError::StorageError;
 };
 
-/** Stored bytes are not what was written. The store does not open until the operator decides. */
+/** Stored bytes differ from what was written. The store cannot be opened until an operator acts. */
 class CorruptionError : public StorageError {
  public:
   /**
    * @param file Path of the file.
-   * @param offset Offset of the first wrong byte's structure, in bytes.
+   * @param offset Offset of the structure that contains the first wrong byte, in bytes.
    * @param reason What is wrong.
    */
   CorruptionError(std::string file, std::uint64_t offset, const std::string& reason);
@@ -58,8 +58,8 @@
 };
 
 /**
- * The store is unusable after a failed write, sync or rename. It stays so until it is opened again,
- * because the state of the file after a failed sync is unknown. The owner steps down.
+ * The store is unusable after a failed write, sync or rename, until it is opened again, because the
+ * state of the file after a failed sync is unknown. The owner steps down.
  */
 class StorageFailedError : public StorageError {
  public:
--- a/libraries/storage/storage_health.h
+++ b/libraries/storage/storage_health.h
@@ -15,7 +15,7 @@
   kStorageFailed,  ///< A write failed; only opening the store again ends this state.
 };
 
-/** State shared by the parts of one store, so that a failure in one stops the others. */
+/** Health state shared by the parts of one store: a failure in one disables all of them. */
 class StorageHealth {
  public:
   /** @param name Name of the store in log lines and errors. */
@@ -23,16 +23,16 @@
 
   /** @return The state. */
   StorageState state() const { return state_; }
-  /** @return The first failure, or an empty text. */
+  /** @return Message of the first failure, or an empty string. */
   const std::string& cause() const { return cause_; }
 
   /**
-   * Runs an operation that changes files.
-   * @throws StorageFailedError when the store has failed, or fails in this operation.
+   * Runs an operation that modifies files; a FileError in it marks the store as failed.
+   * @throws StorageFailedError if the store has failed, or fails in this operation.
    */
   void Run(const std::function<void()>& operation);
 
-  /** @throws StorageFailedError when the store has failed. */
+  /** @throws StorageFailedError if the store has failed. */
   void RequireUsable() const;
 
  private:
--- a/tests/storage/faulty_file_system.cc
+++ b/tests/storage/faulty_file_system.cc
@@ -22,13 +22,13 @@
         continue;
       }
       if (change.is_truncate) {
-        if (Draw()) {
+        if (DrawBool()) {
           Apply(inode->durable, change);
         }
         continue;
       }
       for (std::size_t i = 0; i < change.data.size(); i += kPieceBytes) {
-        if (Draw()) {
+        if (DrawBool()) {
           Apply(inode->durable, {false, change.offset + i, change.data.substr(i, kPieceBytes)});
         }
       }
@@ -42,7 +42,7 @@
 
 FileHandle FaultyFileSystem::Open(const std::string& path, OpenMode mode) {
   if (mode == OpenMode::kReplace) {
-    if (CountAndTest()) {
+    if (NextOperationFails()) {
       throw FileError("open", path, ENOSPC);
     }
     SetEntry(path, std::make_shared<Inode>());
@@ -56,7 +56,7 @@
 }
 
 void FaultyFileSystem::Write(FileHandle file, std::uint64_t offset, std::string_view data) {
-  const bool fails = CountAndTest();
+  const bool fails = NextOperationFails();
   const std::size_t stored = fails ? base::DrawBelow(random_, data.size() + 1) : data.size();
   Change change{false, offset, std::string(data.substr(0, stored))};
   Apply(InodeOf(file).content, change);
@@ -68,7 +68,7 @@
 
 void FaultyFileSystem::Sync(FileHandle file) {
   Inode& inode = InodeOf(file);
-  if (CountAndTest()) {
+  if (NextOperationFails()) {
     // The bytes stay visible but are no longer dirty, as after a failed fsync on Linux.
     inode.pending.clear();
     throw FileError("sync", "file", EIO);
@@ -80,7 +80,7 @@
 }
 
 void FaultyFileSystem::Rename(const std::string& from, const std::string& to) {
-  if (CountAndTest()) {
+  if (NextOperationFails()) {
     throw FileError("rename", from, EIO);
   }
   const auto inode = entries_.at(from);
@@ -89,7 +89,7 @@
 }
 
 void FaultyFileSystem::SyncFolder(const std::string& folder) {
-  if (CountAndTest()) {
+  if (NextOperationFails()) {
     throw FileError("sync folder", folder, EIO);
   }
   for (const EntryChange& change : pending_entries_[folder]) {
@@ -114,7 +114,7 @@
   };
   hooks.size = [this](FileHandle file) { return InodeOf(file).content.size(); };
   hooks.truncate = [this](FileHandle file, std::uint64_t size) {
-    if (CountAndTest()) {
+    if (NextOperationFails()) {
       throw FileError("truncate", "file", EIO);
     }
     Apply(InodeOf(file).content, {true, size, {}});
@@ -123,7 +123,7 @@
   hooks.sync = [this](FileHandle file) { Sync(file); };
   hooks.rename = [this](const std::string& from, const std::string& to) { Rename(from, to); };
   hooks.remove = [this](const std::string& path) {
-    if (CountAndTest()) {
+    if (NextOperationFails()) {
       throw FileError("remove", path, EIO);
     }
     SetEntry(path, nullptr);
--- a/tests/storage/faulty_file_system.h
+++ b/tests/storage/faulty_file_system.h
@@ -11,26 +11,26 @@
 
 namespace borageloft::storage {
 
-/** What a power loss does to writes that were not synced. */
+/** What a power loss does to unsynced writes. */
 enum class PowerLoss {
   kLoseUnsynced,
   kTearUnsynced,  ///< Each small piece of an unsynced write survives or not at random.
 };
 
-/** File system in memory that fails a chosen operation and loses what was not synced. */
+/** In-memory file system that can fail a chosen operation and lose unsynced changes. */
 class FaultyFileSystem {
  public:
   explicit FaultyFileSystem(std::uint64_t seed) : random_(base::SeededRandom(seed)) {
     folders_.insert("/");
   }
 
-  /** Lets the changing operation number @p number from now fail, once; 0 for none. */
+  /** Makes the @p number-th modifying operation from now fail, once; 0 for none. */
   void FailAt(std::uint64_t number) { fail_at_ = number == 0 ? 0 : operations_ + number; }
   /** True once the chosen operation has failed. */
   bool has_failed() const { return fail_at_ != 0 && operations_ >= fail_at_; }
 
   void LosePower(PowerLoss loss);
-  /** Content of a file, for tests that damage it; the change is durable. */
+  /** Content of a file, for tests that damage it with OverwriteFile, whose change is durable. */
   std::string ReadFile(const std::string& path) const { return entries_.at(path)->content; }
   void OverwriteFile(const std::string& path, const std::string& content) {
     auto inode = std::make_shared<Inode>();
@@ -58,7 +58,7 @@
   };
   struct EntryChange {
     std::string path;
-    std::shared_ptr<Inode> inode;  // Nothing for a removal.
+    std::shared_ptr<Inode> inode;  // Null for a removal.
   };
 
   static void Apply(std::string& content, const Change& change) {
@@ -74,9 +74,9 @@
     return slash == 0 ? "/" : path.substr(0, slash);
   }
 
-  // Counts a changing operation. True if it must fail now.
-  bool CountAndTest() { return ++operations_ == fail_at_; }
-  bool Draw() { return random_() % 2 == 0; }
+  // Counts a modifying operation. True if this one must fail.
+  bool NextOperationFails() { return ++operations_ == fail_at_; }
+  bool DrawBool() { return random_() % 2 == 0; }
   void SetEntry(const std::string& path, std::shared_ptr<Inode> inode) {
     if (inode) {
       entries_[path] = inode;
--- a/tests/storage/record_fuzz.h
+++ b/tests/storage/record_fuzz.h
@@ -9,8 +9,8 @@
 
 namespace borageloft::storage {
 
-/** Writes the correct checksums into a frame, so that mutated fields behind them are decoded. */
-inline std::string WithFrameChecksums(std::string bytes, const FramePlace& place) {
+/** Writes correct checksums into a frame, so that the decoder reaches its mutated fields. */
+inline std::string WithFrameChecksums(std::string bytes, const FrameLocation& location) {
   if (bytes.size() < kFrameHeaderBytes) {
     return bytes;
   }
@@ -21,8 +21,8 @@
   };
   std::string salted(16, '\0');
   for (std::size_t i = 0; i < 8; ++i) {
-    salted[i] = static_cast<char>(place.segment >> (8 * i));
-    salted[8 + i] = static_cast<char>(place.offset >> (8 * i));
+    salted[i] = static_cast<char>(location.segment >> (8 * i));
+    salted[8 + i] = static_cast<char>(location.offset >> (8 * i));
   }
   const std::uint64_t salt = base::Hash(salted);
   const std::string_view view(bytes);
@@ -32,17 +32,20 @@
 }
 
 /** Aborts if a decoded frame does not encode to its own bytes. */
-inline void CheckFrame(const Frame& frame, const FramePlace& place, std::string_view bytes) {
+inline void CheckFrame(const Frame& frame, const FrameLocation& location, std::string_view bytes) {
   const std::vector<std::string> records(frame.records.begin(), frame.records.end());
   const std::string encoded = frame.type == FrameType::kBatch
-                                  ? EncodeBatchFrame(place, frame.first_index, records)
-                                  : EncodeTruncateFrame(place, frame.first_index);
+                                  ? EncodeBatchFrame(location, frame.first_index, records)
+                                  : EncodeTruncateFrame(location, frame.first_index);
   if (encoded != bytes) {
     std::abort();
   }
 }
 
-/** Feeds one input to every decoder; aborts if a decoded frame does not encode to its own bytes. */
+/**
+ * Feeds one input to every decoder; aborts if a decoded value does not encode to its own bytes, or
+ * a decoded snapshot to its own length.
+ */
 inline void CheckRecordInput(std::string_view input) {
   constexpr std::uint64_t kSegment = 1;
   const SegmentScan scan = ScanSegment(input, kSegment);
@@ -50,11 +53,11 @@
     CheckFrame(scanned.frame, {kSegment, scanned.offset},
                input.substr(scanned.offset, scanned.frame.size));
   }
-  const FramePlace place{kSegment, kSegmentHeaderBytes};
-  const std::string fixed = WithFrameChecksums(std::string(input), place);
+  const FrameLocation location{kSegment, kSegmentHeaderBytes};
+  const std::string fixed = WithFrameChecksums(std::string(input), location);
   Frame frame;
-  if (DecodeFrame(fixed, place, frame) == FrameStatus::kValid) {
-    CheckFrame(frame, place, std::string_view(fixed).substr(0, frame.size));
+  if (DecodeFrame(fixed, location, frame) == FrameStatus::kValid) {
+    CheckFrame(frame, location, std::string_view(fixed).substr(0, frame.size));
   }
   if (scan.valid_bytes + scan.torn_bytes > input.size()) {
     std::abort();
--- a/tests/storage/storage_test.cc
+++ b/tests/storage/storage_test.cc
@@ -26,7 +26,7 @@
   void SetUp() override { base::SetLogLevel(static_cast<base::LogLevel>(4)); }
   void TearDown() override { base::SetLogLevel(base::LogLevel::kInfo); }
 
-  // Runs an action on an opened group.
+  // Opens the group and runs an action on it.
   void WithStore(const std::function<void(GroupStore&)>& action, LogOptions options = {}) {
     const DataFolder folder(hooks_, "/data");
     GroupStore store(folder, "group", options);
@@ -79,7 +79,8 @@
     disk.LosePower(after == AfterFailure::kLoseUnsynced ? PowerLoss::kLoseUnsynced
                                                         : PowerLoss::kTearUnsynced);
   }
-  // The second round loses power after opening: what the first one showed must be durable.
+  // The first round loses power after opening, and the second checks that what the first one saw is
+  // durable.
   for (int round = 0; round < 2; ++round) {
     const DataFolder folder(hooks, "/data");
     GroupStore store(folder, "group", kSmallSegments);
@@ -89,8 +90,8 @@
   return has_failed;
 }
 
-// Guards against loss of acknowledged records, and against invented ones, whichever operation
-// fails and whatever happens to unsynced bytes.
+// Guards against losing acknowledged records and returning ones that were never appended, for a
+// failure of any operation and any outcome for unsynced bytes.
 TEST_F(StorageTest, SurvivesFailureOfEachOperation) {
   for (const AfterFailure after :
        {AfterFailure::kRestart, AfterFailure::kLoseUnsynced, AfterFailure::kTearUnsynced}) {
@@ -99,11 +100,11 @@
       ++failing;
       ASSERT_FALSE(HasFailure());
     }
-    EXPECT_GT(failing, 100U) << "the workload has too few operations to prove anything";
+    EXPECT_GT(failing, 100U) << "the workload has too few operations to be meaningful";
   }
 }
 
-// Guards against faults that only a series of failures and restarts shows, such as a failure
+// Guards against faults that only appear after a series of failures and restarts, such as a failure
 // during repair. STORAGE_SEEDS sets the number of seeds.
 TEST_F(StorageTest, SurvivesRandomFailures) {
   const char* seeds = std::getenv("STORAGE_SEEDS");
@@ -114,17 +115,17 @@
     const FileSystem hooks = disk.Hooks();
     const base::Random random = base::SeededRandom(seed + 1000);
     StoreModel model(seed);
-    for (int life = 0; life < 40; ++life) {
+    for (int run = 0; run < 40; ++run) {
       disk.FailAt(base::DrawBelow(random, 80));
       try {
         const DataFolder folder(hooks, "/data");
         GroupStore store(folder, "group", kSmallSegments);
-        ASSERT_EQ(model.Adopt(store), "") << "life " << life;
+        ASSERT_EQ(model.Adopt(store), "") << "run " << run;
         for (std::uint64_t steps = base::DrawBelow(random, 60); steps > 0; --steps) {
           model.Step(store);
         }
       } catch (const CorruptionError& error) {
-        FAIL() << error.what() << " in life " << life;
+        FAIL() << error.what() << " in run " << run;
       } catch (const StorageError&) {
         ASSERT_TRUE(disk.has_failed());
       }
@@ -142,7 +143,7 @@
   }
 }
 
-// Guards against a write that a crash cut short being taken for a record, or stopping the start.
+// Guards against a write interrupted by a crash being read as a record, or preventing a start.
 TEST_F(StorageTest, CutsAndReportsTornTail) {
   AppendRecords({"one", "two"});
   const std::string content = disk_.ReadFile(kFirstSegment);
@@ -159,7 +160,7 @@
   }
 }
 
-// Guards against skipping a damaged record: every flipped byte before the last frame is refused.
+// Guards against skipping a damaged record: a flip of any byte before the last frame is rejected.
 TEST_F(StorageTest, RefusesCorruptMiddle) {
   AppendRecords({"one", "two", "three"});
   const std::string content = disk_.ReadFile(kFirstSegment);
@@ -178,8 +179,8 @@
   }
 }
 
-// Guards against cutting synced records in a segment that a later one proves to be complete, and
-// against a missing segment.
+// Guards against cutting off synced records in a segment that must be complete because a later one
+// exists, and against accepting a missing segment.
 TEST_F(StorageTest, RefusesDamageBeforeLastSegment) {
   for (int i = 0; i < 3; ++i) {
     WithStore([](GroupStore& store) { store.log().Append(std::vector<std::string>{"record"}); },
@@ -211,7 +212,7 @@
   }
 }
 
-// Guards against serving a record that changed on disk after the log was opened.
+// Guards against returning a record that changed on disk after the log was opened.
 TEST_F(StorageTest, ReadChecksRecord) {
   WithStore([&](GroupStore& store) {
     store.log().Append(std::vector<std::string>{"one"});
@@ -221,7 +222,7 @@
   });
 }
 
-// Guards against a sync for each record, which would end the benefit of group commit.
+// Guards against a sync per record, which would defeat group commit.
 TEST_F(StorageTest, AppendsBatchWithOneSync) {
   int writes = 0;
   int syncs = 0;
@@ -242,7 +243,7 @@
   });
 }
 
-// Guards against a failed store for an argument that is merely too large.
+// Guards against a record that is too large marking the store as failed.
 TEST_F(StorageTest, RefusesTooLargeRecordAndStaysUsable) {
   WithStore([](GroupStore& store) {
     const std::vector<std::string> large(1, std::string(kMaximumRecordBytes + 1, 'x'));
@@ -283,7 +284,8 @@
   EXPECT_FALSE(CheckDataFolder("/data", hooks_).is_sound());
 }
 
-// Guards against a check that misses damage, changes files, or alarms on what a start repairs.
+// Guards against a check that misses damage, modifies files, or reports an error for what a start
+// repairs.
 TEST_F(StorageTest, CheckReportsEachGroup) {
   EXPECT_EQ(CheckDataFolder("/none", hooks_).use, FolderUse::kMissing);
   AppendRecords({"one", "two"});
@@ -302,19 +304,20 @@
   EXPECT_EQ(disk_.ReadFile(kFirstSegment), damaged);
 }
 
-// Guards against two processes writing one folder, and against hooks that only work in memory.
+// Guards against two processes writing to one folder, and against storage code that works only on
+// the in-memory file system.
 TEST(PosixFileSystemTest, LocksFolderAndKeepsRecords) {
   std::string pattern = ::testing::TempDir() + "/borageloft-storage-XXXXXX";
   ASSERT_NE(::mkdtemp(pattern.data()), nullptr);
   const FileSystem hooks = PosixFileSystem();
   const std::string path = pattern + "/data";
-  for (std::uint64_t life = 1; life <= 3; ++life) {
+  for (std::uint64_t run = 1; run <= 3; ++run) {
     const DataFolder folder(hooks, path);
     EXPECT_THROW(DataFolder(hooks, path), FolderLockedError);
     GroupStore store(folder, "notes", {.segment_bytes = 1});
-    EXPECT_EQ(store.metadata().RaiseIncarnation(), life);
-    EXPECT_EQ(store.log().Append(std::vector<std::string>{"one", "two"}), 2 * life);
-    if (life == 3) {
+    EXPECT_EQ(store.metadata().RaiseIncarnation(), run);
+    EXPECT_EQ(store.log().Append(std::vector<std::string>{"one", "two"}), 2 * run);
+    if (run == 3) {
       store.SaveSnapshot({5, 1}, "state");
       EXPECT_THAT(store.log().Read(6, 10).records, ElementsAre("two"));
     }
@@ -327,7 +330,7 @@
   std::filesystem::remove_all(pattern);
 }
 
-// Guards against a decoder fault that the fuzzer once found.
+// Guards against regressions of decoder faults that the fuzzer found.
 TEST(RecordCorpusTest, ReplaysCorpus) {
   std::size_t count = 0;
   for (const auto& entry : std::filesystem::directory_iterator(STORAGE_CORPUS)) {
--- a/tests/storage/store_model.h
+++ b/tests/storage/store_model.h
@@ -10,7 +10,7 @@
 
 namespace borageloft::storage {
 
-/** State that a group must hold after it was opened again. */
+/** State that a reopened group must have. */
 struct ExpectedState {
   std::map<std::uint64_t, std::string> records;
   std::uint64_t last_index = 0;
@@ -18,13 +18,13 @@
   std::optional<Snapshot> snapshot;
   Metadata metadata;
 
-  /** @return The first difference, or an empty text. */
+  /** @return The first difference, or an empty string. */
   std::string DifferenceTo(GroupStore& store) const;
 };
 
 /**
- * Applies random operations to a group and remembers what was acknowledged. While an operation
- * runs, the states before, during and after it are all allowed.
+ * Applies random operations to a group and tracks the states that it may have after a crash. While
+ * an operation runs, the states before and after it are both allowed.
  */
 class StoreModel {
  public:
@@ -32,7 +32,10 @@
 
   /** Runs one operation. @throws StorageFailedError from the store. */
   void Step(GroupStore& store);
-  /** Compares a reopened group with the allowed states and adopts the one found. */
+  /**
+   * Compares a reopened group with the allowed states and continues from the one that matches.
+   * @return An empty string, or the differences to each allowed state if none matches.
+   */
   std::string Adopt(GroupStore& store);
 
  private:
