--- a/libraries/http_stream/message.cc
+++ b/libraries/http_stream/message.cc
@@ -30,8 +30,9 @@
          EqualsIgnoreCase(name, "content-length") || EqualsIgnoreCase(name, "expect");
 }
 
-// Fields that the Connection field names concern only this connection, too.
-std::vector<std::string> NamedByConnection(const Fields& fields) {
+// Returns the connection options: the names listed in the Connection field. Fields with these
+// names apply to this connection only, too.
+std::vector<std::string> ConnectionOptions(const Fields& fields) {
   std::vector<std::string> names;
   for (const wire::Header& field : fields) {
     if (!EqualsIgnoreCase(field.name, "connection")) {
@@ -87,7 +88,7 @@
 }
 
 void RemoveConnectionFields(Fields& fields) {
-  const std::vector<std::string> named = NamedByConnection(fields);
+  const std::vector<std::string> named = ConnectionOptions(fields);
   std::erase_if(fields, [&](const wire::Header& field) {
     return IsConnectionField(field.name) ||
            std::any_of(named.begin(), named.end(),
--- a/libraries/http_stream/message.h
+++ b/libraries/http_stream/message.h
@@ -12,24 +12,27 @@
 /** Header fields in the order in which they were received. */
 using Fields = std::vector<wire::Header>;
 
-/** @return Value of the first field named @p name, compared without regard to case, or null. */
+/** @return Value of the first field whose name is @p name, ignoring case, or null without one. */
 const std::string* FindField(const Fields& fields, std::string_view name);
 
-/** Removes every field named @p name. */
+/** Removes every field whose name is @p name, ignoring case. */
 void RemoveField(Fields& fields, std::string_view name);
 
-/** Replaces every field named @p name by one with @p value. */
+/** Removes every field whose name is @p name, ignoring case, and appends one with @p value. */
 void SetField(Fields& fields, std::string_view name, std::string value);
 
-/** Removes the fields that concern only one connection, and those that state the body's length. */
+/**
+ * Removes the connection fields: the hop-by-hop fields, those listed in the Connection field, and
+ * Content-Length and Expect.
+ */
 void RemoveConnectionFields(Fields& fields);
 
-/** @return Whether two header names or host names are equal without regard to case. */
+/** @return Whether two header names or host names are equal, ignoring ASCII case. */
 bool EqualsIgnoreCase(std::string_view left, std::string_view right);
 
-/** A whole request. */
+/** A complete HTTP request. */
 struct RequestMessage {
-  /** IP address that the request came from; empty if it was not received. */
+  /** IP address of the peer that sent the request; empty if the request was not received. */
   std::string source;
   std::string method;
   std::string target;
@@ -38,7 +41,7 @@
   bool keeps_alive = true;
 };
 
-/** A whole answer. */
+/** A complete HTTP response. */
 struct ResponseMessage {
   unsigned status = 0;
   Fields fields;
@@ -46,16 +49,22 @@
   bool keeps_alive = true;
 };
 
-/** Whether the connection may carry another exchange after this one. */
+/** Whether the connection stays open for another exchange after this one. */
 enum class Persistence { kKeepAlive, kClose };
 
-/** Whether the body of an answer is written; the answer to HEAD has none. */
+/** Whether the body of a response is written; a response to HEAD has none. */
 enum class BodyUse { kWrite, kOmit };
 
-/** @return The bytes of a request; connection fields must have been removed. */
+/**
+ * @return The bytes of a request, with a Content-Length field where one is needed. The connection
+ *         fields of @p request must have been removed.
+ */
 std::string SerializeRequest(const RequestMessage& request);
 
-/** @return The bytes of an answer; connection fields must have been removed. */
+/**
+ * @return The bytes of a response, with Content-Length, and with `Connection: close` if
+ *         @p persistence says so. The connection fields of @p response must have been removed.
+ */
 std::string SerializeResponse(const ResponseMessage& response, Persistence persistence,
                               BodyUse body_use = BodyUse::kWrite);
 
--- a/libraries/http_stream/message_parser.cc
+++ b/libraries/http_stream/message_parser.cc
@@ -67,21 +67,22 @@
     return 0;
   }
   const bool was_in_header = state_ == ParseState::kIdle || state_ == ParseState::kHeader;
-  const std::size_t used = http_parser_execute(&parser_, &Callbacks(), bytes.data(), bytes.size());
+  const std::size_t consumed =
+      http_parser_execute(&parser_, &Callbacks(), bytes.data(), bytes.size());
   if (state_ == ParseState::kIdle || state_ == ParseState::kHeader) {
-    header_bytes_ += was_in_header ? used : 0;
+    header_bytes_ += was_in_header ? consumed : 0;
     if (header_bytes_ > limits_.header_bytes) {
       state_ = ParseState::kHeaderTooLarge;
     }
   }
   const auto error = HTTP_PARSER_ERRNO(&parser_);
   if (has_failed() || state_ == ParseState::kComplete) {
-    return used;
+    return consumed;
   }
   if (error != HPE_OK || parser_.upgrade != 0) {
     state_ = error == HPE_HEADER_OVERFLOW ? ParseState::kHeaderTooLarge : ParseState::kMalformed;
   }
-  return used;
+  return consumed;
 }
 
 void MessageParser::FinishAtEnd() {
@@ -102,7 +103,8 @@
 int MessageParser::HandleHeadersComplete() {
   std::size_t bytes = target_.size();
   for (const wire::Header& field : fields_) {
-    // The parser library lets blanks in names pass, which hide a field from one reader or another.
+    // http_parser accepts spaces and tabs in field names. Such a field is recognized by some HTTP
+    // implementations and ignored by others.
     if (field.name.find_first_of(" \t") != std::string::npos) {
       state_ = ParseState::kMalformed;
       return kAbort;
@@ -126,13 +128,13 @@
   state_ = ParseState::kBody;
   status_ = parser_.status_code;
   const std::string* expect = FindField(fields_, "expect");
-  wants_continue_ = expect != nullptr && EqualsIgnoreCase(*expect, "100-continue");
+  expects_continue_ = expect != nullptr && EqualsIgnoreCase(*expect, "100-continue");
   return expects_no_body_ ? kSkipBody : kContinueParsing;
 }
 
 int MessageParser::HandleMessageComplete() {
   if (kind_ == MessageKind::kResponse && status_ < kFirstFinalStatus) {
-    // An interim answer; the final one follows.
+    // This is an interim (1xx) response; the final one follows.
     const bool expects_no_body = expects_no_body_;
     fields_.clear();
     is_in_value_ = false;
@@ -144,14 +146,14 @@
   }
   keeps_alive_ = http_should_keep_alive(&parser_) != 0;
   state_ = ParseState::kComplete;
-  // Stops before the first byte of the next message.
+  // Makes http_parser stop before the first byte of the next message.
   http_parser_pause(&parser_, 1);
   return kContinueParsing;
 }
 
 void MessageParser::AppendToHeader(std::string_view text, bool is_name) {
   if (state_ == ParseState::kBody) {
-    return;  // Trailer fields are not passed on.
+    return;  // Trailer fields are discarded.
   }
   if (is_name) {
     if (fields_.empty() || is_in_value_) {
@@ -174,7 +176,7 @@
   body_.clear();
   header_bytes_ = 0;
   expects_no_body_ = false;
-  wants_continue_ = false;
+  expects_continue_ = false;
   keeps_alive_ = true;
   status_ = 0;
 }
--- a/libraries/http_stream/message_parser.h
+++ b/libraries/http_stream/message_parser.h
@@ -11,30 +11,30 @@
 
 namespace borageloft::http_stream {
 
-/** Which messages a parser reads. */
+/** Kind of message that a parser accepts. */
 enum class MessageKind { kRequest, kResponse };
 
-/** Largest sizes of a message, in bytes. */
+/** Maximum sizes of the parts of a message, in bytes. */
 struct MessageLimits {
   std::size_t header_bytes = 16 * 1024;
   std::size_t body_bytes = 8 * 1024 * 1024;
 };
 
-/** Where a parser stands. */
+/** Progress of a parser within the current message. */
 enum class ParseState {
-  kIdle,            // No byte of a message has come.
+  kIdle,            // No byte of a message has been parsed.
   kHeader,          // Within the header.
   kBody,            // Within the body.
-  kComplete,        // A whole message can be taken.
+  kComplete,        // A complete message can be taken.
   kHeaderTooLarge,  // Failed: the header exceeds its limit.
   kBodyTooLarge,    // Failed: the body exceeds its limit.
-  kMalformed,       // Failed: the bytes are no message.
+  kMalformed,       // Failed: the bytes are not a valid message.
 };
 
 /**
- * Incremental parser of HTTP/1.1 messages, one at a time, over the http_parser library. It refuses
- * messages whose framing is ambiguous (both a length and chunks, several lengths, an unknown
- * transfer coding), so that no request can be hidden inside another. Not thread-safe.
+ * Incremental parser that reads one HTTP/1.1 message at a time, built on the http_parser library.
+ * To prevent request smuggling, it rejects messages whose framing is ambiguous: both Content-Length
+ * and chunked coding, several lengths, or an unknown transfer coding. Not thread-safe.
  */
 class MessageParser {
  public:
@@ -44,28 +44,31 @@
   MessageParser& operator=(const MessageParser&) = delete;
 
   /**
-   * Reads bytes up to the end of one message.
-   * @return How many bytes belong to the message; the rest is input of the next one.
+   * Parses bytes up to the end of the current message.
+   * @return Number of bytes consumed; the rest belongs to the next message.
    */
   std::size_t Feed(std::string_view bytes);
 
-  /** Tells that the stream has ended, which completes an answer without a stated length. */
+  /** Handles the end of the stream, which completes a response without a stated length. */
   void FinishAtEnd();
 
-  /** @return Whether the next answer has no body whatever its header says (answer to HEAD). */
+  /**
+   * @param expects_no_body Whether the next response has no body, whatever its header states (a
+   *                        response to HEAD).
+   */
   void set_expects_no_body(bool expects_no_body) { expects_no_body_ = expects_no_body; }
 
   ParseState state() const { return state_; }
   bool has_failed() const;
-  /** @return Whether a request asked to be told to go on before it sends its body. */
-  bool wants_continue() const { return wants_continue_; }
+  /** @return Whether the current request has the field `Expect: 100-continue`. */
+  bool expects_continue() const { return expects_continue_; }
 
-  /** @return The complete request; the parser starts anew. */
+  /** @return The complete request; resets the parser for the next one. */
   RequestMessage TakeRequest();
-  /** @return The complete answer; the parser starts anew. */
+  /** @return The complete response; resets the parser for the next one. */
   ResponseMessage TakeResponse();
 
-  /** Replaces the limits; they hold from the next message on. */
+  /** Replaces the limits. Call between messages: a message in progress is checked against them. */
   void set_limits(MessageLimits limits) { limits_ = limits; }
 
  private:
@@ -87,7 +90,7 @@
   std::string body_;
   std::size_t header_bytes_ = 0;
   bool expects_no_body_ = false;
-  bool wants_continue_ = false;
+  bool expects_continue_ = false;
   bool keeps_alive_ = true;
   unsigned status_ = 0;
 };
--- a/libraries/http_stream/server.cc
+++ b/libraries/http_stream/server.cc
@@ -13,10 +13,11 @@
 
 namespace {
 
-// Pause after accept() failed, mostly because no descriptor was left.
+// Delay before accepting again after a failure, usually because the process has no free file
+// descriptor.
 constexpr std::chrono::milliseconds kAcceptRetryDelay{100};
-// Connections that may wait to be accepted while the process is held up.
-constexpr int kBacklog = 1024;
+// Connections that the kernel queues while the process is too busy to accept them.
+constexpr int kAcceptBacklog = 1024;
 
 }  // namespace
 
@@ -26,9 +27,9 @@
   }
 }
 
-void Exchange::NotifyAbandoned(std::function<void()> hook) const {
+void Exchange::NotifyAbandoned(std::function<void()> callback) const {
   if (const auto session = session_.lock()) {
-    session->NotifyAbandoned(number_, std::move(hook));
+    session->NotifyAbandoned(number_, std::move(callback));
   }
 }
 
@@ -37,7 +38,7 @@
       limits_(limits),
       handler_(std::move(handler)),
       acceptor_(context),
-      accept_retry_(context) {}
+      accept_retry_timer_(context) {}
 
 Server::~Server() { Stop(); }
 
@@ -47,7 +48,7 @@
     acceptor_.open(target.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.bind(target);
-    acceptor_.listen(kBacklog);
+    acceptor_.listen(kAcceptBacklog);
   } catch (const std::system_error& error) {
     throw ServerError(
         fmt::format("cannot listen on {}: {}", settings::FormatEndpoint(endpoint), error.what()));
@@ -63,8 +64,8 @@
     }
     if (error) {
       base::Log(base::LogLevel::kWarning, "accept_failed", {{"error", error.message()}});
-      accept_retry_.expires_after(kAcceptRetryDelay);
-      accept_retry_.async_wait([this](const asio::error_code& cancelled) {
+      accept_retry_timer_.expires_after(kAcceptRetryDelay);
+      accept_retry_timer_.async_wait([this](const asio::error_code& cancelled) {
         if (!cancelled) {
           Accept();
         }
@@ -75,7 +76,7 @@
       ++counters_.connections_refused;
     } else {
       ++counters_.connections_opened;
-      const std::uint64_t id = next_session_++;
+      const std::uint64_t id = next_session_id_++;
       const auto session = std::make_shared<Session>(*this, id, std::move(socket));
       sessions_.emplace(id, session);
       session->Start();
@@ -87,7 +88,7 @@
 void Server::Stop() {
   asio::error_code ignored;
   acceptor_.close(ignored);
-  accept_retry_.cancel();
+  accept_retry_timer_.cancel();
   std::vector<std::shared_ptr<Session>> sessions;
   for (const auto& [id, session] : sessions_) {
     sessions.push_back(session);
--- a/libraries/http_stream/server.h
+++ b/libraries/http_stream/server.h
@@ -12,7 +12,7 @@
 
 namespace borageloft::http_stream {
 
-/** A server could not start. */
+/** Thrown when a server cannot listen on its address. */
 class ServerError : public base::Error {
  public:
   using Error::Error;
@@ -20,37 +20,43 @@
 
 class Session;
 
-/** One request that a server received and its caller still waits for. Copies share the exchange. */
+/**
+ * Handle to a request that a server has received, used to send its response. Copies refer to the
+ * same request.
+ */
 class Exchange {
  public:
   Exchange(std::weak_ptr<Session> session, std::uint64_t number)
       : session_(std::move(session)), number_(number) {}
 
-  /** Answers the request; later answers are ignored. Without effect once the caller has left. */
+  /** Sends the response. Has no effect after the first call or once the caller has disconnected. */
   void Respond(ResponseMessage response) const;
 
-  /** @param hook Called at most once, when the caller leaves before it was answered. */
-  void NotifyAbandoned(std::function<void()> hook) const;
+  /**
+   * Sets the function that is called if the request is abandoned.
+   * @param callback Called at most once, when the connection closes before a response was given.
+   */
+  void NotifyAbandoned(std::function<void()> callback) const;
 
  private:
   std::weak_ptr<Session> session_;
   std::uint64_t number_;
 };
 
-/** Receives each whole request. It must answer the exchange, now or later. */
+/** Called with each complete request. Must respond to the exchange, during the call or later. */
 using RequestHandler =
     std::function<void(RequestMessage request, base::TimePoint received, const Exchange& exchange)>;
 
-/** Bounds of the connections of a server. */
+/** Limits on the connections of a server. */
 struct ServerLimits {
   MessageLimits message;
-  /** A header that is not complete after this time is answered 408. */
+  /** Time to wait for an incomplete request header; then the response is 408. */
   base::Duration header_timeout = std::chrono::seconds(5);
-  /** A connection without a request for this time is closed. */
+  /** Time after which a connection without a request is closed. */
   base::Duration idle_timeout = std::chrono::seconds(15);
-  /** Requests of one connection that run at once; further ones wait unread. */
+  /** Maximum requests of one connection in progress; further ones stay unparsed meanwhile. */
   std::size_t pipeline_depth = 32;
-  /** Connections open at once; further ones are closed at once. */
+  /** Maximum open connections; further ones are closed as soon as they are accepted. */
   std::size_t connections = 3000;
 };
 
@@ -64,8 +70,9 @@
 };
 
 /**
- * HTTP/1.1 server on one event loop. Requests of one connection run at once and are answered in
- * order. Not thread-safe: everything runs on the loop's thread.
+ * HTTP/1.1 server on one event loop, with pipelining: requests of one connection are handled
+ * concurrently, and their responses are sent in request order. Not thread-safe: everything runs on
+ * the loop's thread.
  */
 class Server {
  public:
@@ -76,22 +83,23 @@
   Server& operator=(const Server&) = delete;
 
   /**
-   * Begins to accept connections.
-   * @return The address listened on, with the port that the system chose for port 0.
-   * @throws ServerError when the address cannot be used.
+   * Binds to an address and begins to accept connections.
+   * @param endpoint Address and port; with port 0 the operating system chooses the port.
+   * @return The address, with the port that the server listens on.
+   * @throws ServerError if the server cannot listen on the address.
    */
   settings::Endpoint Listen(const settings::Endpoint& endpoint);
 
-  /** Replaces the limits; open connections follow from their next request on. */
+  /** Replaces the limits. Open connections apply the message limits from their next request on. */
   void set_limits(const ServerLimits& limits) { limits_ = limits; }
 
-  /** From now on answers say that their connection will be closed. */
+  /** Begins to drain: a connection is closed after a response that no further request follows. */
   void BeginDrain() { is_draining_ = true; }
 
   /** Stops accepting and closes every connection. */
   void Stop();
 
-  /** @return Requests that were read and not answered yet. */
+  /** @return Number of requests received whose response has not been written yet. */
   std::size_t exchanges_in_progress() const { return exchanges_in_progress_; }
   std::size_t connection_count() const { return sessions_.size(); }
   const ServerCounters& counters() const { return counters_; }
@@ -105,9 +113,9 @@
   ServerLimits limits_;
   RequestHandler handler_;
   asio::ip::tcp::acceptor acceptor_;
-  asio::steady_timer accept_retry_;
+  asio::steady_timer accept_retry_timer_;
   std::unordered_map<std::uint64_t, std::shared_ptr<Session>> sessions_;
-  std::uint64_t next_session_ = 1;
+  std::uint64_t next_session_id_ = 1;
   std::size_t exchanges_in_progress_ = 0;
   bool is_draining_ = false;
   ServerCounters counters_;
--- a/libraries/http_stream/session.cc
+++ b/libraries/http_stream/session.cc
@@ -25,8 +25,8 @@
 void Session::Start() {
   asio::error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-  const asio::ip::tcp::endpoint source = socket_.remote_endpoint(ignored);
-  source_ = source.address().to_string();
+  const asio::ip::tcp::endpoint peer = socket_.remote_endpoint(ignored);
+  peer_address_ = peer.address().to_string();
   RestartTimer();
   Read();
 }
@@ -52,8 +52,8 @@
 }
 
 void Session::HandleBytes(std::size_t count) {
-  if (is_lingering_ || stops_reading_) {
-    Read();  // Read and dropped, so that closing does not reset the connection.
+  if (is_lingering_ || is_discarding_input_) {
+    Read();  // Keeps the receive buffer empty: closing with unread bytes would send a reset.
     return;
   }
   input_.append(read_buffer_.data(), count);
@@ -61,50 +61,50 @@
   if (is_closed_) {
     return;
   }
-  // A full pipeline leaves its surplus in the buffer. Reading goes on below its bound so that a
-  // caller that leaves is noticed.
-  if (input_.size() < kInputBytes) {
+  // While the pipeline is full, further requests stay in the input buffer. Reading continues until
+  // the buffer is full, so that a disconnect by the caller is detected.
+  if (input_.size() < kInputBufferBytes) {
     Read();
   }
 }
 
 void Session::ParseInput() {
-  while (!input_.empty() && !stops_reading_ && !is_closed_ &&
+  while (!input_.empty() && !is_discarding_input_ && !is_closed_ &&
          pipeline_.size() < server_->limits_.pipeline_depth) {
     const bool was_idle = parser_.state() == ParseState::kIdle;
-    const std::size_t used = parser_.Feed(input_);
-    input_.erase(0, used);
+    const std::size_t consumed = parser_.Feed(input_);
+    input_.erase(0, consumed);
     if (parser_.has_failed()) {
-      RefuseInput();
+      RejectRequest();
       return;
     }
     if (parser_.state() == ParseState::kComplete) {
-      AcceptRequest();
+      HandleRequest();
       continue;
     }
     if (was_idle) {
       RestartTimer();
     }
-    if (parser_.wants_continue() && parser_.state() == ParseState::kBody && pipeline_.empty()) {
+    if (parser_.expects_continue() && parser_.state() == ParseState::kBody && pipeline_.empty()) {
       output_ += "HTTP/1.1 100 Continue\r\n\r\n";
       Write();
     }
-    if (used == 0) {
+    if (consumed == 0) {
       return;
     }
   }
 }
 
-void Session::AcceptRequest() {
+void Session::HandleRequest() {
   RequestMessage request = parser_.TakeRequest();
-  request.source = source_;
+  request.source = peer_address_;
   parser_.set_limits(server_->limits_.message);
   timer_.cancel();
-  Pending pending;
+  PendingRequest pending;
   pending.number = next_number_++;
   pending.body_use = request.method == "HEAD" ? BodyUse::kOmit : BodyUse::kWrite;
-  pending.closes = !request.keeps_alive;
-  stops_reading_ = !request.keeps_alive;
+  pending.closes_connection = !request.keeps_alive;
+  is_discarding_input_ = !request.keeps_alive;
   const std::uint64_t number = pending.number;
   pipeline_.push_back(std::move(pending));
   ++server_->exchanges_in_progress_;
@@ -112,70 +112,72 @@
   server_->handler_(std::move(request), Now(), Exchange(weak_from_this(), number));
 }
 
-void Session::RefuseInput() {
+void Session::RejectRequest() {
   ++server_->counters_.malformed;
   ResponseMessage response;
   response.status = parser_.state() == ParseState::kHeaderTooLarge ? kHeaderTooLarge
                     : parser_.state() == ParseState::kBodyTooLarge ? kContentTooLarge
                                                                    : kBadRequest;
   base::Log(base::LogLevel::kInfo, "request_malformed", {{"status", response.status}});
-  stops_reading_ = true;
+  is_discarding_input_ = true;
   input_.clear();
-  Pending pending;
+  PendingRequest pending;
   pending.number = next_number_++;
-  pending.closes = true;
+  pending.closes_connection = true;
   pending.response = std::move(response);
   pipeline_.push_back(std::move(pending));
   ++server_->exchanges_in_progress_;
-  FlushAnswers();
+  FlushResponses();
 }
 
 void Session::Respond(std::uint64_t number, ResponseMessage response) {
-  Pending* pending = FindPending(number);
+  PendingRequest* pending = FindPendingRequest(number);
   if (pending == nullptr || pending->response) {
     return;
   }
   pending->response = std::move(response);
   pending->on_abandoned = nullptr;
-  FlushAnswers();
+  FlushResponses();
 }
 
-void Session::NotifyAbandoned(std::uint64_t number, std::function<void()> hook) {
-  if (Pending* pending = FindPending(number); pending != nullptr && !pending->response) {
-    pending->on_abandoned = std::move(hook);
+void Session::NotifyAbandoned(std::uint64_t number, std::function<void()> callback) {
+  if (PendingRequest* pending = FindPendingRequest(number);
+      pending != nullptr && !pending->response) {
+    pending->on_abandoned = std::move(callback);
   }
 }
 
-Session::Pending* Session::FindPending(std::uint64_t number) {
+Session::PendingRequest* Session::FindPendingRequest(std::uint64_t number) {
   if (pipeline_.empty() || number < pipeline_.front().number) {
     return nullptr;
   }
-  const std::uint64_t place = number - pipeline_.front().number;
-  return place < pipeline_.size() ? &pipeline_[place] : nullptr;
+  const std::uint64_t index = number - pipeline_.front().number;
+  return index < pipeline_.size() ? &pipeline_[index] : nullptr;
 }
 
-void Session::FlushAnswers() {
-  bool has_answered = false;
+void Session::FlushResponses() {
+  bool has_responses = false;
   while (!is_closed_ && !closes_after_write_ && !pipeline_.empty() && pipeline_.front().response) {
-    Pending pending = std::move(pipeline_.front());
+    PendingRequest pending = std::move(pipeline_.front());
     pipeline_.pop_front();
     --server_->exchanges_in_progress_;
-    // An answer closes only if no request behind it was taken: the caller would send that again.
+    // While draining, close only if no further request has been received: the caller would have to
+    // send that request again.
     const bool is_last =
         pipeline_.empty() && input_.empty() && parser_.state() == ParseState::kIdle;
-    const bool closes = pending.closes || (server_->is_draining_ && is_last);
-    output_ +=
-        SerializeResponse(*pending.response, closes ? Persistence::kClose : Persistence::kKeepAlive,
-                          pending.body_use);
-    closes_after_write_ = closes;
-    stops_reading_ = stops_reading_ || closes;
-    has_answered = true;
+    const bool closes_connection = pending.closes_connection || (server_->is_draining_ && is_last);
+    output_ += SerializeResponse(*pending.response,
+                                 closes_connection ? Persistence::kClose : Persistence::kKeepAlive,
+                                 pending.body_use);
+    closes_after_write_ = closes_connection;
+    is_discarding_input_ = is_discarding_input_ || closes_connection;
+    has_responses = true;
   }
-  if (!has_answered) {
+  if (!has_responses) {
     return;
   }
   Write();
-  if (!is_closed_ && !stops_reading_) {
+  if (!is_closed_ && !is_discarding_input_) {
     ParseInput();
     if (!is_closed_ && pipeline_.empty()) {
       RestartTimer();
@@ -189,8 +191,8 @@
     return;
   }
   is_writing_ = true;
-  writing_ = std::exchange(output_, {});
-  asio::async_write(socket_, asio::buffer(writing_),
+  write_buffer_ = std::exchange(output_, {});
+  asio::async_write(socket_, asio::buffer(write_buffer_),
                     [self = shared_from_this()](const asio::error_code& error, std::size_t) {
                       self->is_writing_ = false;
                       if (self->is_closed_) {
@@ -205,7 +207,7 @@
 }
 
 void Session::FinishWriting() {
-  writing_.clear();
+  write_buffer_.clear();
   if (!output_.empty()) {
     Write();
   } else if (closes_after_write_) {
@@ -213,13 +215,13 @@
   }
 }
 
-// Ends the stream and reads what still comes, because closing with unread bytes would reset the
-// connection and could take the answer with it.
+// Shuts down the sending side and discards further input for a while (lingering close). Closing
+// with unread bytes would reset the connection, and the caller could lose the response.
 void Session::Linger() {
   is_lingering_ = true;
   asio::error_code ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-  timer_.expires_after(kLingerTime);
+  timer_.expires_after(kLingerTimeout);
   timer_.async_wait([self = shared_from_this()](const asio::error_code& error) {
     if (!error) {
       self->Close();
@@ -238,14 +240,14 @@
     if (is_idle && self->parser_.state() == ParseState::kIdle) {
       if (!self->is_writing_) {
         self->closes_after_write_ = true;
-        self->stops_reading_ = true;
+        self->is_discarding_input_ = true;
         self->Linger();
       }
     } else if (self->parser_.state() == ParseState::kHeader) {
       ResponseMessage response;
       response.status = kRequestTimeout;
       self->output_ += SerializeResponse(response, Persistence::kClose);
-      self->stops_reading_ = true;
+      self->is_discarding_input_ = true;
       self->closes_after_write_ = true;
       self->Write();
     } else if (self->parser_.state() == ParseState::kBody) {
@@ -255,8 +257,8 @@
 }
 
 void Session::AbandonAll() {
-  std::deque<Pending> pipeline = std::exchange(pipeline_, {});
-  for (Pending& pending : pipeline) {
+  std::deque<PendingRequest> pipeline = std::exchange(pipeline_, {});
+  for (PendingRequest& pending : pipeline) {
     if (server_ != nullptr) {
       --server_->exchanges_in_progress_;
       server_->counters_.abandoned += pending.response ? 0 : 1;
--- a/libraries/http_stream/session.h
+++ b/libraries/http_stream/session.h
@@ -12,24 +12,24 @@
 
 namespace borageloft::http_stream {
 
-/** One connection of a caller. */
+/** One connection from a caller: parses its requests and writes the responses in order. */
 class Session : public std::enable_shared_from_this<Session> {
  public:
   Session(Server& server, std::uint64_t id, asio::ip::tcp::socket socket);
 
   void Start();
   void Respond(std::uint64_t number, ResponseMessage response);
-  void NotifyAbandoned(std::uint64_t number, std::function<void()> hook);
-  /** Closes at once; waiting callers count as gone. */
+  void NotifyAbandoned(std::uint64_t number, std::function<void()> callback);
+  /** Closes the connection immediately; its unanswered requests are abandoned. */
   void Close();
-  /** Detaches from the server, which is being destroyed. */
+  /** Closes the connection and drops the pointer to the server, which is stopping. */
   void Detach();
 
  private:
-  struct Pending {
+  struct PendingRequest {
     std::uint64_t number = 0;
     BodyUse body_use = BodyUse::kWrite;
-    bool closes = false;
+    bool closes_connection = false;
     std::optional<ResponseMessage> response;
     std::function<void()> on_abandoned;
   };
@@ -37,36 +37,36 @@
   void Read();
   void HandleBytes(std::size_t count);
   void ParseInput();
-  void AcceptRequest();
-  void RefuseInput();
-  void FlushAnswers();
+  void HandleRequest();
+  void RejectRequest();
+  void FlushResponses();
   void Write();
   void FinishWriting();
   void Linger();
   void RestartTimer();
   void AbandonAll();
-  Pending* FindPending(std::uint64_t number);
+  PendingRequest* FindPendingRequest(std::uint64_t number);
 
-  // Pipelined bytes held unread while as many requests as allowed run.
-  static constexpr std::size_t kInputBytes = 64 * 1024;
-  // Time for the peer to read the last answer before the socket is closed.
-  static constexpr std::chrono::seconds kLingerTime{2};
+  // Reading pauses once this many bytes wait unparsed because the pipeline is full.
+  static constexpr std::size_t kInputBufferBytes = 64 * 1024;
+  // Time for the peer to read the last response before the socket is closed.
+  static constexpr std::chrono::seconds kLingerTimeout{2};
 
   Server* server_;
   const std::uint64_t id_;
   asio::ip::tcp::socket socket_;
-  std::string source_;
+  std::string peer_address_;
   asio::steady_timer timer_;
   MessageParser parser_;
   std::array<char, 8192> read_buffer_{};
   std::string input_;
-  std::deque<Pending> pipeline_;
+  std::deque<PendingRequest> pipeline_;
   std::uint64_t next_number_ = 1;
   std::string output_;
-  std::string writing_;
+  std::string write_buffer_;
   bool is_reading_ = false;
   bool is_writing_ = false;
-  bool stops_reading_ = false;  // No further request is taken; the last answer closes.
+  bool is_discarding_input_ = false;  // Bytes that arrive from now on are read but not parsed.
   bool closes_after_write_ = false;
   bool is_lingering_ = false;
   bool is_closed_ = false;
--- a/tests/http_stream/message_parser_test.cc
+++ b/tests/http_stream/message_parser_test.cc
@@ -12,8 +12,8 @@
   return parser.state();
 }
 
-// Guards against a second pipelined request being swallowed with the first.
-TEST(MessageParserTest, StopsBehindOneRequest) {
+// Guards against consuming the bytes of a second pipelined request with those of the first.
+TEST(MessageParserTest, StopsAfterOneRequest) {
   MessageParser parser(MessageKind::kRequest, kLimits);
   const std::string first = "GET /a/1 HTTP/1.1\r\nHost: h\r\n\r\n";
   const std::string both = first + "GET /a/2 HTTP/1.1\r\nHost: h\r\n\r\n";
@@ -25,24 +25,24 @@
   EXPECT_EQ(parser.TakeRequest().target, "/a/2");
 }
 
-// Guards against a message that depends on how its bytes were cut into reads.
-TEST(MessageParserTest, ReadsEveryCutOfAChunkedRequest) {
+// Guards against a result that depends on how the bytes are divided among reads.
+TEST(MessageParserTest, ParsesAChunkedRequestSplitAtAnyByte) {
   const std::string bytes =
       "POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n"
       "0\r\nTrailer: t\r\n\r\n";
-  for (std::size_t cut = 1; cut < bytes.size(); ++cut) {
+  for (std::size_t split = 1; split < bytes.size(); ++split) {
     MessageParser parser(MessageKind::kRequest, kLimits);
-    ASSERT_EQ(parser.Feed(std::string_view(bytes).substr(0, cut)), cut);
-    parser.Feed(std::string_view(bytes).substr(cut));
-    ASSERT_EQ(parser.state(), ParseState::kComplete) << cut;
+    ASSERT_EQ(parser.Feed(std::string_view(bytes).substr(0, split)), split);
+    parser.Feed(std::string_view(bytes).substr(split));
+    ASSERT_EQ(parser.state(), ParseState::kComplete) << split;
     const RequestMessage request = parser.TakeRequest();
     EXPECT_EQ(request.body, "abcde");
     EXPECT_EQ(FindField(request.fields, "trailer"), nullptr);
   }
 }
 
-// Guards against requests hidden inside others by ambiguous framing.
-TEST(MessageParserTest, RefusesAmbiguousFraming) {
+// Guards against request smuggling through ambiguous framing.
+TEST(MessageParserTest, RejectsAmbiguousFraming) {
   for (const char* fields :
        {"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length: 3\r\nContent-Length: 4\r\n", "Transfer-Encoding: gzip\r\n",
@@ -53,8 +53,8 @@
   }
 }
 
-// Guards against callers that make a node hold more than its bounds.
-TEST(MessageParserTest, NamesTheLimitThatIsExceeded) {
+// Guards against callers that make a node buffer more than its limits allow.
+TEST(MessageParserTest, ReportsWhichLimitIsExceeded) {
   MessageParser header(MessageKind::kRequest, kLimits);
   FeedAll(header, "GET / HTTP/1.1\r\nHost: h\r\nA: " + std::string(2000, 'a'));
   EXPECT_EQ(header.state(), ParseState::kHeaderTooLarge);
@@ -67,8 +67,8 @@
   EXPECT_EQ(chunked.state(), ParseState::kBodyTooLarge);
 }
 
-// Guards against a truncated answer that is passed on as whole.
-TEST(MessageParserTest, TellsATruncatedAnswerFromAWholeOne) {
+// Guards against forwarding a truncated response as if it were complete.
+TEST(MessageParserTest, DistinguishesTruncatedFromCompleteResponses) {
   MessageParser truncated(MessageKind::kResponse, kLimits);
   FeedAll(truncated, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc");
   truncated.FinishAtEnd();
@@ -81,8 +81,8 @@
   EXPECT_EQ(unframed.TakeResponse().body, "abc");
 }
 
-// Guards against an interim answer taken for the final one.
-TEST(MessageParserTest, SkipsInterimAnswers) {
+// Guards against treating an interim (1xx) response as the final one.
+TEST(MessageParserTest, SkipsInterimResponses) {
   MessageParser parser(MessageKind::kResponse, kLimits);
   FeedAll(parser, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\nA: b\r\n\r\n");
   ASSERT_EQ(parser.state(), ParseState::kComplete);
@@ -91,15 +91,17 @@
   EXPECT_NE(FindField(response.fields, "a"), nullptr);
 }
 
-// Guards against waiting for the body of an answer to HEAD, which states a length.
-TEST(MessageParserTest, AnswerToHeadHasNoBody) {
+// Guards against waiting for a body after a response to HEAD, which may state a length but has
+// none.
+TEST(MessageParserTest, ResponseToHeadHasNoBody) {
   MessageParser parser(MessageKind::kResponse, kLimits);
   parser.set_expects_no_body(true);
   FeedAll(parser, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n");
   ASSERT_EQ(parser.state(), ParseState::kComplete);
 }
 
-// Guards against fields of one connection, or a second length, that travel on.
+// Guards against forwarding connection fields, or a Content-Length in addition to the serialized
+// one.
 TEST(MessageTest, RemovesConnectionFields) {
   Fields fields = {{"Connection", "close, X-Own"},
                    {"X-Own", "1"},
--- a/tests/http_stream/server_test.cc
+++ b/tests/http_stream/server_test.cc
@@ -9,7 +9,7 @@
 
 using asio::ip::tcp;
 
-/** A server whose requests the test answers, and one connection to it, on one event loop. */
+/** A server, whose requests the test responds to, and a client connection, on one event loop. */
 class ServerTest : public ::testing::Test {
  protected:
   struct Received {
@@ -39,7 +39,8 @@
 
   void Send(std::string_view bytes) { asio::write(client_, asio::buffer(bytes)); }
 
-  /** Runs the loop until @p condition holds; the bound only ends a test that has failed. */
+  /** Runs the loop until @p condition holds; the time limit of 10 s is reached only by a failing
+   * test. */
   template <typename Condition>
   bool RunUntil(Condition condition) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(10);
@@ -50,7 +51,7 @@
     return condition();
   }
 
-  /** Reads what has come so far. */
+  /** Reads what is available without blocking. @return Everything received so far. */
   std::string& Collect() {
     client_.non_blocking(true);
     std::array<char, 4096> buffer{};
@@ -65,7 +66,7 @@
     }
   }
 
-  static ResponseMessage Answer(const std::string& body) {
+  static ResponseMessage MakeResponse(const std::string& body) {
     ResponseMessage response;
     response.status = 200;
     response.body = body;
@@ -80,31 +81,31 @@
   bool has_ended_ = false;
 };
 
-// Guards against answers of one connection that overtake each other.
-TEST_F(ServerTest, AnswersPipelinedRequestsInOrder) {
+// Guards against responses of one connection being sent out of order.
+TEST_F(ServerTest, RespondsToPipelinedRequestsInOrder) {
   Send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(RunUntil([&] { return received_.size() == 2; }));
-  received_[1].exchange.Respond(Answer("second"));
+  received_[1].exchange.Respond(MakeResponse("second"));
   RunUntil([] { return true; });
   EXPECT_EQ(Collect(), "");
-  received_[0].exchange.Respond(Answer("first"));
+  received_[0].exchange.Respond(MakeResponse("first"));
   ASSERT_TRUE(RunUntil([&] { return Collect().find("second") != std::string::npos; }));
   EXPECT_LT(collected_.find("first"), collected_.find("second"));
 }
 
-// Guards against requests beyond the depth that are lost instead of waiting unread.
-TEST_F(ServerTest, TakesFurtherRequestsWhenThePipelineHasRoom) {
+// Guards against losing requests beyond the pipeline depth, which must stay buffered.
+TEST_F(ServerTest, ParsesFurtherRequestsWhenThePipelineHasRoom) {
   Send(
       "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n"
       "GET /3 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(RunUntil([&] { return received_.size() == 2; }));
-  received_[0].exchange.Respond(Answer("one"));
+  received_[0].exchange.Respond(MakeResponse("one"));
   ASSERT_TRUE(RunUntil([&] { return received_.size() == 3; }));
   EXPECT_EQ(received_[2].message.target, "/3");
 }
 
-// Guards against work for a caller that has left.
-TEST_F(ServerTest, TellsThatTheCallerLeft) {
+// Guards against running requests whose caller has disconnected.
+TEST_F(ServerTest, NotifiesWhenTheCallerDisconnects) {
   Send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(RunUntil([&] { return received_.size() == 1; }));
   bool is_abandoned = false;
@@ -112,19 +113,19 @@
   client_.close();
   EXPECT_TRUE(RunUntil([&] { return is_abandoned; }));
   EXPECT_EQ(server_->exchanges_in_progress(), 0U);
-  received_[0].exchange.Respond(Answer("nobody"));  // Without effect.
+  received_[0].exchange.Respond(MakeResponse("nobody"));  // Has no effect.
 }
 
-// Guards against a caller that holds a connection with half a header.
-TEST_F(ServerTest, AnswersAnIncompleteHeaderWithATimeout) {
+// Guards against a caller that holds a connection open with an incomplete header.
+TEST_F(ServerTest, RespondsToAnIncompleteHeaderWithATimeout) {
   Send("GET /1 HTTP/1.1\r\nHo");
   ASSERT_TRUE(RunUntil([&] { return Collect().find(" 408 ") != std::string::npos; }));
   EXPECT_TRUE(received_.empty());
 }
 
-// Guards against a malformed request that is answered without closing, so that its rest is read as
-// another request.
-TEST_F(ServerTest, ClosesBehindAMalformedRequest) {
+// Guards against keeping the connection open after a malformed request: the bytes that follow it
+// would be parsed as another request.
+TEST_F(ServerTest, ClosesAfterAMalformedRequest) {
   Send(
       "POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"
       "GET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -137,15 +138,15 @@
   EXPECT_TRUE(received_.empty());
 }
 
-// Guards against a drain that cuts off a request behind the one that it answers.
-TEST_F(ServerTest, DrainClosesOnlyBehindTheLastRequest) {
+// Guards against a drain that closes the connection while a pipelined request is still in progress.
+TEST_F(ServerTest, DrainClosesOnlyAfterTheLastRequest) {
   Send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(RunUntil([&] { return received_.size() == 2; }));
   server_->BeginDrain();
-  received_[0].exchange.Respond(Answer("first"));
+  received_[0].exchange.Respond(MakeResponse("first"));
   ASSERT_TRUE(RunUntil([&] { return Collect().find("first") != std::string::npos; }));
   EXPECT_EQ(collected_.find("Connection: close"), std::string::npos);
-  received_[1].exchange.Respond(Answer("second"));
+  received_[1].exchange.Respond(MakeResponse("second"));
   ASSERT_TRUE(RunUntil([&] {
     Collect();
     return has_ended_;
