--- a/libraries/declaration/routes.cc
+++ b/libraries/declaration/routes.cc
@@ -11,17 +11,17 @@
                                           const std::set<std::string>& services) {
   const std::string message_prefix = "route '" + route.name + "': ";
   if (route.host.empty()) {
-    return message_prefix + "the host is empty";
+    return message_prefix + "its host is empty";
   }
   if (route.path_prefix.empty() || route.path_prefix.front() != '/' ||
       route.path_prefix.back() != '/') {
-    return message_prefix + "the path prefix must begin and end with a slash";
+    return message_prefix + "its path prefix must begin and end with a slash";
   }
   if (route.attempts == 0) {
-    return message_prefix + "the number of attempts must be at least 1";
+    return message_prefix + "it allows no attempt";
   }
   if (route.targets.empty()) {
-    return message_prefix + "the route has no service";
+    return message_prefix + "it names no service";
   }
   double sum = 0;
   for (const WeightedService& target : route.targets) {
@@ -29,12 +29,12 @@
       return message_prefix + "unknown service '" + target.service + "'";
     }
     if (!std::isfinite(target.weight) || target.weight < 0) {
-      return message_prefix + "a weight is negative or not finite";
+      return message_prefix + "a weight is below 0";
     }
     sum += target.weight;
   }
   if (sum <= 0) {
-    return message_prefix + "the sum of the weights must be positive";
+    return message_prefix + "its weights add up to 0";
   }
   return std::nullopt;
 }
@@ -43,12 +43,12 @@
 
 std::optional<std::string> FindFault(const Declaration& declaration) {
   if (declaration.version == 0) {
-    return "the version must be positive";
+    return "the version must be above 0";
   }
   std::set<std::string> services;
   for (const ServiceEntry& service : declaration.services) {
     if (service.name.empty() || !services.insert(service.name).second) {
-      return "a service name is empty or duplicate: '" + service.name + "'";
+      return "a service name is empty or stands twice: '" + service.name + "'";
     }
   }
   std::set<std::pair<std::string, std::string>> host_prefixes;
--- a/tests/declaration/declaration_test.cc
+++ b/tests/declaration/declaration_test.cc
@@ -34,16 +34,16 @@
        [](Declaration& d) {
          d.routes[0].targets = {{"c", 1}};
        }},
-      {"sum of the weights",
+      {"add up to 0",
        [](Declaration& d) {
          d.routes[0].targets = {{"a", 0}, {"b", 0}};
        }},
-      {"a weight is negative",
+      {"below 0",
        [](Declaration& d) {
          d.routes[0].targets = {{"a", -1}, {"b", 2}};
        }},
-      {"has no service", [](Declaration& d) { d.routes[0].targets.clear(); }},
-      {"empty or duplicate",
+      {"names no service", [](Declaration& d) { d.routes[0].targets.clear(); }},
+      {"stands twice",
        [](Declaration& d) {
          d.services.push_back({"a", 1});
        }},
